--- a/crates/mastknot_core/src/agent/entry_links.rs
+++ b/crates/mastknot_core/src/agent/entry_links.rs
@@ -17,11 +17,11 @@
         };
         self.end_other_lives(now, &key);
         self.drop_queued_of(&key);
-        let grants_room = welcome.news.grants_room;
+        let grants_room = welcome.update.grants_capacity;
         let hall = welcome.hall;
-        let told_drained = welcome.news.drained.revision.max(greeting.told_drained);
-        let news = welcome.news.clone();
-        self.take_news(session, welcome.news);
+        let told_drained = welcome.update.drained.revision.max(greeting.told_drained);
+        let news = welcome.update.clone();
+        self.take_news(session, welcome.update);
         if let Some(profile) = welcome.remembered_target {
             self.target_remembered(profile);
         }
@@ -105,7 +105,12 @@
                 percent,
                 paced_percent: percent,
                 kind: adopted.kind,
-                ..Run::new(now, key.clone(), adopted.room, adopted.estimate_ms)
+                ..Run::new(
+                    now,
+                    key.clone(),
+                    adopted.required_capacity,
+                    adopted.estimate_ms,
+                )
             };
             self.runs.insert(adopted.run, run);
         }
--- a/crates/mastknot_core/src/agent/expected_ends.rs
+++ b/crates/mastknot_core/src/agent/expected_ends.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Run, RunPhase, RunTable};
-use crate::job::Room;
+use crate::job::Capacity;
 use crate::types::Moment;
 
 /// A run that is this much over its expected end is not counted on: nobody knows when it ends.
@@ -30,12 +30,12 @@
     now: Moment,
     until: Moment,
     pace_percent: u32,
-) -> Room {
+) -> Capacity {
     let ending = runs.iter().filter(|(_, run)| {
         let end = expected_end(run, now, pace_percent);
         end.is_some_and(|end| end <= until)
     });
-    ending.fold(Room::default(), |sum, (_, run)| sum.with(&run.room))
+    ending.fold(Capacity::default(), |sum, (_, run)| sum.with(&run.room))
 }
 
 /// The first moment after `after` at which a run is expected to end.
--- a/crates/mastknot_core/src/agent/granting.rs
+++ b/crates/mastknot_core/src/agent/granting.rs
@@ -13,7 +13,9 @@
 use super::queued_starts::QueuedStart;
 use super::side_load::waiting_by_rank;
 use super::target_agent::TargetAgent;
-use crate::job::{EndOfRun, EndedRun, NotRunCause, Room, RoomGrant, RunId, SideLoad, StartOrder};
+use crate::job::{
+    Capacity, CapacityGrant, EndOfRun, EndedRun, NotRunCause, RunId, SideLoad, StartOrder,
+};
 use crate::types::Moment;
 
 /// Room that comes free within this time is granted before: a report, a decision and an order take about as long.
@@ -52,17 +54,17 @@
     }
 
     /// What is free and what is expected to come free until a moment, without what belongs to somebody.
-    fn promisable(&self, now: Moment, until: Moment) -> Room {
+    fn promisable(&self, now: Moment, until: Moment) -> Capacity {
         let pace = self.pace.percent();
         if !self.condition.takes_work() {
-            return Room::default();
+            return Capacity::default();
         }
         let coming = expected_room(&self.runs, now, until, pace);
         self.free().with(&coming).without(&self.promised())
     }
 
     /// What belongs to somebody: grants and starts that wait.
-    pub(super) fn promised(&self) -> Room {
+    pub(super) fn promised(&self) -> Capacity {
         let offers = self.owners.values().filter_map(|owner| owner.offer);
         let queued = self.queued.room();
         offers.fold(queued, |sum, offer| sum.with(&offer.left))
@@ -83,9 +85,9 @@
 
     /// What nobody is known to need goes to an entry in turn, once it is too little to be shown to all.
     fn grant_standing(&mut self, now: Moment) {
-        let share = self.untouched().scarcest_permille_of(&self.capacity());
+        let share = self.untouched().min_permille_of(&self.capacity());
         let room = self.unreserved();
-        let is_usable = room.holds(&self.smallest_run()) && room.cpu_millis > 0;
+        let is_usable = room.covers(&self.smallest_run()) && room.cpu_millis > 0;
         if share >= GRANTS_SHOWN_FROM_PERMILLE {
             self.shown_until = now + self.settings.idle_report_delay + KEPT_LONGER;
         }
@@ -120,19 +122,19 @@
     }
 
     /// The room of the smallest run, by which useless rests are known.
-    fn smallest_run(&self) -> Room {
+    fn smallest_run(&self) -> Capacity {
         let rooms = self.runs.iter().map(|(_, run)| run.room);
         let smallest = rooms.reduce(|smallest, room| smallest.smaller_of(&room));
         smallest.unwrap_or_default()
     }
 
     /// A grant goes from here to an entry that waits.
-    fn grant(&mut self, now: Moment, key: &OwnerKey, room: &Room) {
+    fn grant(&mut self, now: Moment, key: &OwnerKey, room: &Capacity) {
         let Some(owner) = self.owners.get_mut(key) else {
             return;
         };
         let need = owner.need.clone().unwrap_or_default();
-        let left = room.smaller_of(&need.room);
+        let left = room.smaller_of(&need.required_capacity);
         owner.note_turn(&left, &need);
         owner.offer = Some(RoomOffer::new(left, now + VALID_FOR + KEPT_LONGER, true));
         self.decided(AgentDecision::Granted {
@@ -143,7 +145,7 @@
     }
 
     /// The entry's grant as it is told.
-    pub(super) fn grant_of(&self, now: Moment, owner: &Owner) -> Option<RoomGrant> {
+    pub(super) fn grant_of(&self, now: Moment, owner: &Owner) -> Option<CapacityGrant> {
         let offer = owner.offer.filter(|_| self.is_granting())?;
         let valid = match offer.number {
             0 if offer.is_needed => VALID_FOR,
@@ -151,8 +153,8 @@
             _ => offer.until.since(now).saturating_sub(KEPT_LONGER),
         };
         let free = self.free().without(&self.queued.room());
-        (!valid.is_zero()).then(|| RoomGrant {
-            room: offer.left,
+        (!valid.is_zero()).then(|| CapacityGrant {
+            capacity: offer.left,
             ahead: offer.left.without(&free),
             valid_ms: valid.as_millis() as u32,
         })
@@ -169,29 +171,31 @@
 
     /// What is free and belongs to nobody, without what entries are likely to take before all have heard of it: as much
     /// as they took in the time that a report takes.
-    pub(super) fn untouched(&self) -> Room {
+    pub(super) fn untouched(&self) -> Capacity {
         let since = self.handled - self.settings.idle_report_delay;
         let recent = self.runs.iter().filter(|(_, run)| run.since > since);
-        let recent = recent.fold(Room::default(), |sum, (_, run)| sum.with(&run.room));
+        let recent = recent.fold(Capacity::default(), |sum, (_, run)| sum.with(&run.room));
         self.unreserved().without(&recent)
     }
 
     /// A start has used a part of what its entry needs.
-    pub(super) fn note_served(&mut self, key: &OwnerKey, room: &Room) {
+    pub(super) fn note_served(&mut self, key: &OwnerKey, room: &Capacity) {
         let Some(owner) = self.owners.get_mut(key) else {
             return;
         };
         // The entry counts its own starts.
         owner.told.free = owner.told.free.without(room);
         if let Some(need) = &mut owner.need {
-            need.room = need.room.without(room);
+            need.required_capacity = need.required_capacity.without(room);
         }
-        owner.need.take_if(|need| !need.room.holds(&need.smallest));
+        owner
+            .need
+            .take_if(|need| !need.required_capacity.covers(&need.smallest_task));
         // A rest that holds no further task of its entry is of use to nobody while it is kept.
-        let smallest = owner.need.as_ref().map_or(*room, |need| need.smallest);
+        let smallest = owner.need.as_ref().map_or(*room, |need| need.smallest_task);
         if owner
             .offer
-            .is_some_and(|offer| !offer.left.holds(&smallest))
+            .is_some_and(|offer| !offer.left.covers(&smallest))
         {
             owner.drop_offer(true);
         }
@@ -200,29 +204,29 @@
     /// Whether a start that finds no fault goes to the target, waits, or is turned away.
     pub(super) fn admit(&self, now: Moment, key: &OwnerKey, start: &StartOrder) -> StartVerdict {
         if !self.is_granting() {
-            return match self.available_to(key).holds(&start.room) {
+            return match self.available_to(key).covers(&start.required_capacity) {
                 true => StartVerdict::Now,
                 false => StartVerdict::Away(NotRunCause::NoRoom),
             };
         }
-        let room = &start.room;
+        let room = &start.required_capacity;
         let may_wait = Duration::from_millis(u64::from(start.may_wait_ms));
         let offer = self.owners.get(key).and_then(|owner| owner.offer);
-        if let Some(offer) = offer.filter(|offer| offer.left.holds(room)) {
+        if let Some(offer) = offer.filter(|offer| offer.left.covers(room)) {
             let free = self.free().without(&self.queued.room());
             let until = offer.until.max(now + may_wait);
-            return match free.holds(room) {
+            return match free.covers(room) {
                 true => StartVerdict::Now,
                 false => StartVerdict::Wait { until },
             };
         }
         let own = offer.map(|offer| offer.left).unwrap_or_default();
         let free = self.free().without(&self.queued.room());
-        if free.holds(room) && self.unreserved().with(&own).holds(room) {
+        if free.covers(room) && self.unreserved().with(&own).covers(room) {
             return StartVerdict::Now;
         }
         let until = now + may_wait;
-        let is_expected = self.promisable(now, until).with(&own).holds(room);
+        let is_expected = self.promisable(now, until).with(&own).covers(room);
         match is_expected && start.may_wait_ms > 0 {
             true => StartVerdict::Wait { until },
             false => StartVerdict::Away(NotRunCause::NoRoom),
@@ -237,7 +241,7 @@
         order: StartOrder,
         until: Moment,
     ) {
-        self.use_offer(key, &order.room);
+        self.use_offer(key, &order.required_capacity);
         self.decided(AgentDecision::StartQueued {
             run: order.run,
             rank: order.rank,
@@ -345,13 +349,13 @@
         SideLoad {
             waiting: waiting_by_rank(needs),
             entries: active.count().min(usize::from(u16::MAX)) as u16,
-            room_in_ms: self.room_in(now).as_millis() as u32,
+            free_capacity_in_ms: self.room_in(now).as_millis() as u32,
         }
     }
 
     /// How long it is until a run ends whose room belongs to nobody.
     fn room_in(&self, now: Moment) -> Duration {
-        if self.unreserved().holds(&self.smallest_run()) {
+        if self.unreserved().covers(&self.smallest_run()) {
             return Duration::ZERO;
         }
         let promised = self.promised();
@@ -361,7 +365,7 @@
             until = end;
             let coming = expected_room(&self.runs, now, until, pace);
             let left = self.free().with(&coming).without(&promised);
-            if left.holds(&self.smallest_run()) {
+            if left.covers(&self.smallest_run()) {
                 break;
             }
         }
--- a/crates/mastknot_core/src/agent/hall_shares.rs
+++ b/crates/mastknot_core/src/agent/hall_shares.rs
@@ -11,7 +11,7 @@
 /// The whole target, in thousandths.
 const WHOLE_PERMILLE: u64 = 1_000;
 /// Work at the heaviest weight costs itself: no weight loses a remainder.
-const WORK_COST: u64 = ShareWeights::MOST as u64;
+const WORK_COST: u64 = ShareWeights::MAX as u64;
 
 /// Who is next among halls whose needs are equally urgent: start-time fair queueing.
 ///
--- a/crates/mastknot_core/src/agent/learning.rs
+++ b/crates/mastknot_core/src/agent/learning.rs
@@ -6,7 +6,8 @@
 use super::target_agent::TargetAgent;
 use super::{AgentDecision, AgentEffect, SessionId};
 use crate::job::{
-    ConfigDocument, DocumentPart, DrainedHalls, EntryNews, KnownEntry, SideReport, directory_digest,
+    ConfigDocument, DocumentPart, DrainedHalls, EntryUpdate, KnownEntry, SideReport,
+    directory_digest,
 };
 use crate::types::Moment;
 
@@ -21,12 +22,12 @@
     }
 
     /// An entry has told what it has.
-    pub(super) fn take_news(&mut self, session: SessionId, news: EntryNews) {
-        self.fetch.note_offer(session, news.config_version);
+    pub(super) fn take_news(&mut self, session: SessionId, news: EntryUpdate) {
+        self.fetch.record_offer(session, news.config_version);
         self.directory.announce(session, news.directory);
         let key = self.sessions.get(&session);
         if let Some(owner) = key.and_then(|key| self.owners.get_mut(key)) {
-            owner.grants_room = news.grants_room;
+            owner.grants_room = news.grants_capacity;
         }
         self.learn_shares(session, &news);
         self.learn_drained_halls(session, news.drained);
@@ -98,7 +99,7 @@
     }
 
     pub(super) fn take_part(&mut self, session: SessionId, part: DocumentPart) {
-        let whole = self.fetch.take_part(session, part);
+        let whole = self.fetch.receive_part(session, part);
         let known = self.config_version();
         if let Some(document) = whole.filter(|whole| whole.version > known) {
             self.document = Some(document);
--- a/crates/mastknot_core/src/agent/offers.rs
+++ b/crates/mastknot_core/src/agent/offers.rs
@@ -11,7 +11,7 @@
 use super::granting;
 use super::owners::{Duty, Owner, OwnerKey};
 use super::target_agent::TargetAgent;
-use crate::job::{Room, WaitingNeed};
+use crate::job::{Capacity, WaitingNeed};
 use crate::types::Moment;
 
 /// How long an offer is kept for an entry that says nothing.
@@ -30,7 +30,7 @@
     /// The report that told of it; 0 while none has.
     pub(super) number: u64,
     /// What is left of it.
-    pub(super) left: Room,
+    pub(super) left: Capacity,
     /// When it ends by itself.
     pub(super) until: Moment,
     /// Whether the entry is known to need it: its next heartbeat returns what is left of it.
@@ -40,7 +40,7 @@
 
 impl RoomOffer {
     /// An offer of which the entry has not been told yet.
-    pub(super) fn new(left: Room, until: Moment, is_needed: bool) -> Self {
+    pub(super) fn new(left: Capacity, until: Moment, is_needed: bool) -> Self {
         Self {
             number: 0,
             left,
@@ -61,9 +61,9 @@
     }
 
     /// The entry gets this room of what it needs: its next turn comes later.
-    pub(super) fn note_turn(&mut self, left: &Room, need: &WaitingNeed) {
-        self.turn +=
-            FULL_TURN * u64::from(left.cpu_millis.max(1)) / u64::from(need.room.cpu_millis.max(1));
+    pub(super) fn note_turn(&mut self, left: &Capacity, need: &WaitingNeed) {
+        self.turn += FULL_TURN * u64::from(left.cpu_millis.max(1))
+            / u64::from(need.required_capacity.cpu_millis.max(1));
     }
 }
 
@@ -71,22 +71,22 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SharedRoom {
     /// What is free.
-    free: Room,
+    free: Capacity,
     /// What of it is shown to every entry.
-    shown: Room,
+    shown: Capacity,
     is_granting: bool,
 }
 
 impl TargetAgent {
     /// What an entry may start now: what is kept for it and what is kept for nobody.
-    pub(super) fn available_to(&self, key: &OwnerKey) -> Room {
+    pub(super) fn available_to(&self, key: &OwnerKey) -> Capacity {
         let offer = self.owners.get(key).and_then(|owner| owner.offer);
         let own = offer.map(|offer| offer.left).unwrap_or_default();
         own.with(&self.unreserved()).smaller_of(&self.free())
     }
 
     /// What an entry is told that it may start.
-    pub(super) fn shown_to(&self, owner: &Owner, shared: &SharedRoom) -> Room {
+    pub(super) fn shown_to(&self, owner: &Owner, shared: &SharedRoom) -> Capacity {
         let own = owner.offer.map(|offer| offer.left).unwrap_or_default();
         let shown = own.with(&shared.shown);
         match shared.is_granting {
@@ -109,27 +109,27 @@
             false => SHOWN_FROM_PERMILLE,
         };
         let share = match is_granting {
-            true => unreserved.scarcest_permille_of(&self.capacity()),
-            false => unreserved.permille_of(&self.capacity()),
+            true => unreserved.min_permille_of(&self.capacity()),
+            false => unreserved.max_permille_of(&self.capacity()),
         };
         let is_little = share < shown_from;
         SharedRoom {
             free: self.free(),
             is_granting,
             shown: match (has_need || is_granting) && is_little {
-                true => Room::default(),
+                true => Capacity::default(),
                 false => unreserved,
             },
         }
     }
 
     /// What is free and kept for nobody.
-    pub(super) fn unreserved(&self) -> Room {
+    pub(super) fn unreserved(&self) -> Capacity {
         self.free().without(&self.promised())
     }
 
     /// A start uses up the entry's own offer first.
-    pub(super) fn use_offer(&mut self, key: &OwnerKey, room: &Room) {
+    pub(super) fn use_offer(&mut self, key: &OwnerKey, room: &Capacity) {
         let offer = self
             .owners
             .get_mut(key)
@@ -207,7 +207,7 @@
                 return;
             };
             let need = owner.need.clone().unwrap_or_default();
-            let left = room.smaller_of(&need.room);
+            let left = room.smaller_of(&need.required_capacity);
             owner.note_turn(&left, &need);
             owner.offer = Some(RoomOffer::new(left, now + OFFER_TIME, true));
             let hall = owner.hall.clone();
@@ -216,13 +216,13 @@
                 hall,
                 cpu_millis: left.cpu_millis,
                 rank: need.rank,
-                needed_cpu_millis: need.room.cpu_millis,
+                needed_cpu_millis: need.required_capacity.cpu_millis,
             });
         }
     }
 
     /// The entry that gets the next offer: the most urgent need, then the one longest without.
-    pub(super) fn next_in_turn(&self, now: Moment, room: &Room) -> Option<OwnerKey> {
+    pub(super) fn next_in_turn(&self, now: Moment, room: &Capacity) -> Option<OwnerKey> {
         let places = self.hall_places();
         let waiting = self.owners.iter().filter_map(|(key, owner)| {
             let need = owner.need.as_ref()?;
@@ -230,7 +230,8 @@
                 && owner.session.is_some()
                 && owner.offer.is_none()
                 && owner.declined_until <= now;
-            let is_served = may_have && room.holds(&need.smallest) && *room != Room::default();
+            let is_served =
+                may_have && room.covers(&need.smallest_task) && *room != Capacity::default();
             is_served.then_some(Claim {
                 owner: key,
                 rank: need.rank,
--- a/crates/mastknot_core/src/agent/orders.rs
+++ b/crates/mastknot_core/src/agent/orders.rs
@@ -23,7 +23,11 @@
             EntryOrder::Adopt(runs) => self.adopt(now, &key, runs),
             EntryOrder::Start(start) => self.start(now, &key, start),
             EntryOrder::Stop(run) => self.stop_for(now, &key, run),
-            EntryOrder::Heartbeat { heard, need, news } => {
+            EntryOrder::Heartbeat {
+                last_received: heard,
+                need,
+                update: news,
+            } => {
                 self.take_heard(now, &key, heard);
                 self.take_need(now, &key, heard, need);
                 if let Some(news) = news {
@@ -52,14 +56,14 @@
     }
 
     fn start(&mut self, now: Moment, key: &OwnerKey, start: StartOrder) {
-        self.take_heard(now, key, start.heard);
+        self.take_heard(now, key, start.last_received);
         let Some(owner) = self.owners.get_mut(key) else {
             return;
         };
         owner.starts += 1;
         match self.judge_start(now, key, &start) {
             StartVerdict::Now => {
-                self.use_offer(key, &start.room);
+                self.use_offer(key, &start.required_capacity);
                 self.order_run(now, key, start);
             }
             StartVerdict::Wait { until } => self.queue_start(now, key, start, until),
@@ -74,9 +78,9 @@
             kind: start.kind,
             kind_crashed_after: millis(start.kind_crashed_after_ms),
             crashed_after: millis(start.crashed_after_ms),
-            ..Run::new(now, key.clone(), start.room, start.estimate_ms)
+            ..Run::new(now, key.clone(), start.required_capacity, start.estimate_ms)
         };
-        let charged = self.charge_start(key, &start.room, start.estimate_ms);
+        let charged = self.charge_start(key, &start.required_capacity, start.estimate_ms);
         self.runs.insert(start.run, Run { charged, ..run });
         let hold_until_ms = self.hold_until(now);
         self.link.note_hold(hold_until_ms);
--- a/crates/mastknot_core/src/agent/owners.rs
+++ b/crates/mastknot_core/src/agent/owners.rs
@@ -3,7 +3,7 @@
 
 use super::SessionId;
 use super::offers::RoomOffer;
-use crate::job::{EndedRun, LeaseTerms, Room, TargetCondition, TargetProfile, WaitingNeed};
+use crate::job::{Capacity, EndedRun, LeaseTerms, TargetCondition, TargetProfile, WaitingNeed};
 use crate::types::{Hall, Incarnation, Moment, NodeName};
 
 /// One life of an entry.
@@ -30,7 +30,7 @@
 /// What an entry was last told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Told {
-    pub(crate) free: Room,
+    pub(crate) free: Capacity,
     pub(crate) condition: TargetCondition,
     pub(crate) is_cold: bool,
     pub(crate) target: Option<TargetProfile>,
--- a/crates/mastknot_core/src/agent/queued_starts.rs
+++ b/crates/mastknot_core/src/agent/queued_starts.rs
@@ -1,5 +1,5 @@
 use super::owners::OwnerKey;
-use crate::job::{Room, RunId, StartOrder};
+use crate::job::{Capacity, RunId, StartOrder};
 use crate::types::Moment;
 
 /// A start that waits at the side for room that is expected soon.
@@ -34,9 +34,12 @@
     }
 
     /// The room that all of them take together.
-    pub(super) fn room(&self) -> Room {
-        let rooms = self.starts.iter().map(|start| &start.order.room);
-        rooms.fold(Room::default(), |sum, room| sum.with(room))
+    pub(super) fn room(&self) -> Capacity {
+        let rooms = self
+            .starts
+            .iter()
+            .map(|start| &start.order.required_capacity);
+        rooms.fold(Capacity::default(), |sum, room| sum.with(room))
     }
 
     /// Whether none waits.
@@ -55,9 +58,10 @@
     }
 
     /// Takes the first one out if it fits into this room.
-    pub(super) fn take_first(&mut self, free: &Room) -> Option<QueuedStart> {
+    pub(super) fn take_first(&mut self, free: &Capacity) -> Option<QueuedStart> {
         let first = self.starts.first()?;
-        free.holds(&first.order.room).then(|| self.starts.remove(0))
+        free.covers(&first.order.required_capacity)
+            .then(|| self.starts.remove(0))
     }
 
     /// Takes those out for which this holds.
--- a/crates/mastknot_core/src/agent/rebirths.rs
+++ b/crates/mastknot_core/src/agent/rebirths.rs
@@ -20,16 +20,16 @@
     /// Whether a life ended before that began which is known now.
     pub(super) fn is_earlier_life(&self, target: &TargetId) -> bool {
         match &self.link.profile {
-            Some(known) => target.is_before(&known.id),
-            None => target.born_ms != 0 && target.born_ms < self.link.born_ms,
+            Some(known) => target.precedes(&known.id),
+            None => target.started_at_ms != 0 && target.started_at_ms < self.link.born_ms,
         }
     }
 
     /// Whether the life that answers looks is this one, although the first report of it did not say when it began.
     pub(super) fn has_answered_as(&self, target: &TargetId) -> bool {
         let known = self.link.profile.as_ref().map(|profile| &profile.id);
-        let is_unsaid = known.is_some_and(|id| id.name == target.name && id.born_ms == 0);
-        is_unsaid && target.born_ms != 0 && target.born_ms == self.link.born_ms
+        let is_unsaid = known.is_some_and(|id| id.name == target.name && id.started_at_ms == 0);
+        is_unsaid && target.started_at_ms != 0 && target.started_at_ms == self.link.born_ms
     }
 
     /// Whether the profile is more than a memory: its life has reported or answered.
@@ -59,7 +59,7 @@
 
     fn known_birth(&self) -> u64 {
         let reported = self.link.profile.as_ref();
-        let reported = reported.map_or(0, |profile| profile.id.born_ms);
+        let reported = reported.map_or(0, |profile| profile.id.started_at_ms);
         match reported {
             0 => self.link.born_ms,
             born_ms => born_ms,
--- a/crates/mastknot_core/src/agent/reporting.rs
+++ b/crates/mastknot_core/src/agent/reporting.rs
@@ -5,7 +5,7 @@
 use super::offers::SharedRoom;
 use super::owners::{Duty, Owner, OwnerKey, Told};
 use super::target_agent::TargetAgent;
-use crate::job::{Room, SideReport, SideStatus};
+use crate::job::{Capacity, SideReport, SideStatus};
 use crate::types::Moment;
 
 /// A change of the room by this share of the target, in thousandths, is news.
@@ -63,10 +63,10 @@
     }
 
     /// Whether a change of the room is worth a report before the next heartbeat.
-    fn is_notable(&self, told: &Room, shown: &Room) -> bool {
+    fn is_notable(&self, told: &Capacity, shown: &Capacity) -> bool {
         let difference = told.without(shown).with(&shown.without(told));
-        let has_appeared = (*told == Room::default()) != (*shown == Room::default());
-        has_appeared || difference.permille_of(&self.capacity()) >= NOTABLE_PERMILLE
+        let has_appeared = (*told == Capacity::default()) != (*shown == Capacity::default());
+        has_appeared || difference.max_permille_of(&self.capacity()) >= NOTABLE_PERMILLE
     }
 
     fn report(&mut self, now: Moment, key: &OwnerKey, shared: &SharedRoom) {
@@ -75,7 +75,7 @@
         let free = free.unwrap_or_default();
         let hidden = match self.is_granting() {
             true => self.free().without(&free),
-            false => Room::default(),
+            false => Capacity::default(),
         };
         let target = self.link.profile.clone();
         let condition = self.condition;
@@ -113,14 +113,14 @@
             number,
             starts_included: owner.starts,
             free,
-            hidden,
+            withheld: hidden,
             is_offer: owner.offer.is_some_and(|offer| offer.is_needed),
             grant,
             load,
             condition,
             is_standby,
             is_cold,
-            pace_percent,
+            slowdown_percent: pace_percent,
             target: news_of_target,
             ended: std::mem::take(&mut owner.ended),
             config_version: owner.news_of_version(config_version),
@@ -130,7 +130,7 @@
     }
 
     /// What the target has in all.
-    pub fn capacity(&self) -> Room {
+    pub fn capacity(&self) -> Capacity {
         let profile = self.link.profile.as_ref();
         profile.map(|profile| profile.capacity).unwrap_or_default()
     }
--- a/crates/mastknot_core/src/agent/run_table.rs
+++ b/crates/mastknot_core/src/agent/run_table.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 
 use super::owners::OwnerKey;
-use crate::job::{EndOfRun, Room, RunId, TaskKind, ran_alike, trial_time};
+use crate::job::{Capacity, EndOfRun, RunId, TaskKind, are_similar_run_times, trial_time};
 use crate::types::Moment;
 
 /// Where a run stands.
@@ -39,7 +39,7 @@
     /// The entry that ordered it.
     pub(crate) owner: OwnerKey,
     /// What it takes.
-    pub room: Room,
+    pub room: Capacity,
     /// A guess of its time, in milliseconds.
     pub estimate_ms: u32,
     /// The work that its entry's hall was charged with, in thousandths of the target times milliseconds.
@@ -68,7 +68,7 @@
 
 impl Run {
     /// A run that is ordered or taken over now.
-    pub(crate) fn new(now: Moment, owner: OwnerKey, room: Room, estimate_ms: u32) -> Self {
+    pub(crate) fn new(now: Moment, owner: OwnerKey, room: Capacity, estimate_ms: u32) -> Self {
         Self {
             owner,
             room,
@@ -95,8 +95,9 @@
     /// Whether its task and one that ran for this time may both have crashed a target, and it has not yet run long
     /// enough to show that it did not.
     pub(crate) fn is_like_suspect(&self, now: Moment, ran: Duration) -> bool {
-        self.crashed_after
-            .is_some_and(|own| now.since(self.since) <= trial_time(own) && ran_alike(own, ran))
+        self.crashed_after.is_some_and(|own| {
+            now.since(self.since) <= trial_time(own) && are_similar_run_times(own, ran)
+        })
     }
 
     /// Whether it may still crash its target as others of its kind have.
@@ -120,7 +121,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RunTable {
     runs: IndexMap<RunId, Run>,
-    used: Room,
+    used: Capacity,
 }
 
 impl RunTable {
@@ -176,7 +177,7 @@
     }
 
     /// What all runs take together.
-    pub fn used(&self) -> Room {
+    pub fn used(&self) -> Capacity {
         self.used
     }
 
--- a/crates/mastknot_core/src/agent/sharing.rs
+++ b/crates/mastknot_core/src/agent/sharing.rs
@@ -6,7 +6,7 @@
 use super::owners::{Duty, Owner, OwnerKey};
 use super::target_agent::TargetAgent;
 use super::{AgentDecision, HallShares, HallTotal, Run, SessionId};
-use crate::job::{EndOfRun, EntryNews, Room, ShareWeights, WaitingNeed};
+use crate::job::{Capacity, EndOfRun, EntryUpdate, ShareWeights, WaitingNeed};
 use crate::types::Hall;
 
 /// The time of a task of which nothing is known, in milliseconds.
@@ -14,10 +14,10 @@
 
 impl TargetAgent {
     /// An entry has told whether halls share room that is short, and by which weights; what is older changes nothing.
-    pub(super) fn learn_shares(&mut self, session: SessionId, news: &EntryNews) {
+    pub(super) fn learn_shares(&mut self, session: SessionId, news: &EntryUpdate) {
         let key = self.sessions.get(&session);
         if let Some(owner) = key.and_then(|key| self.owners.get_mut(key)) {
-            owner.shares_room = news.shares_room;
+            owner.shares_room = news.shares_capacity;
         }
         if news.shares.is_newer_than(&self.weights) {
             self.weights = Arc::clone(&news.shares);
@@ -70,7 +70,12 @@
     }
 
     /// A start is charged to its entry's hall, whatever its rank and whoever the room was kept for; returns the work.
-    pub(super) fn charge_start(&mut self, key: &OwnerKey, room: &Room, estimate_ms: u32) -> u64 {
+    pub(super) fn charge_start(
+        &mut self,
+        key: &OwnerKey,
+        room: &Capacity,
+        estimate_ms: u32,
+    ) -> u64 {
         if !self.shares_room() {
             return 0;
         }
@@ -134,8 +139,8 @@
     }
 
     /// Room times time, in thousandths of the target times milliseconds.
-    fn work(&self, room: &Room, ms: u64) -> u64 {
-        u64::from(room.permille_of(&self.capacity())) * ms
+    fn work(&self, room: &Capacity, ms: u64) -> u64 {
+        u64::from(room.max_permille_of(&self.capacity())) * ms
     }
 
     fn hall_of(&self, key: &OwnerKey) -> Option<Hall> {
@@ -156,6 +161,6 @@
 fn expected_ms(need: &WaitingNeed) -> Option<u64> {
     let mut by_rank = need.by_rank.iter();
     let work = by_rank.find(|work| work.rank == need.rank)?;
-    let cpu_millis = u64::from(need.room.cpu_millis);
+    let cpu_millis = u64::from(need.required_capacity.cpu_millis);
     work.cpu_millis_ms.checked_div(cpu_millis)
 }
--- a/crates/mastknot_core/src/agent/side_load.rs
+++ b/crates/mastknot_core/src/agent/side_load.rs
@@ -15,5 +15,5 @@
         rank,
         cpu_millis_ms,
     });
-    RankedWork::first_ranks(ranked.collect())
+    RankedWork::limit_ranks(ranked.collect())
 }
--- a/crates/mastknot_core/src/agent/target_agent.rs
+++ b/crates/mastknot_core/src/agent/target_agent.rs
@@ -19,7 +19,7 @@
     RunPhase, RunTable, SessionId, TargetHealth,
 };
 use crate::job::{
-    ConfigDocument, DrainedHalls, EndOfRun, EndedRun, KnownEntry, Room, RunId, ShareWeights,
+    Capacity, ConfigDocument, DrainedHalls, EndOfRun, EndedRun, KnownEntry, RunId, ShareWeights,
     SideHello, SideReport, TargetCondition, TargetId, TargetProfile,
 };
 use crate::relay::{DocumentFetch, DocumentServer};
@@ -322,13 +322,13 @@
     }
 
     /// What is free for new runs now.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Capacity {
         let Some(profile) = &self.link.profile else {
-            return Room::default();
+            return Capacity::default();
         };
         match self.condition {
-            TargetCondition::Absent | TargetCondition::Draining => Room::default(),
-            TargetCondition::Probation if !self.runs.is_empty() => Room::default(),
+            TargetCondition::Absent | TargetCondition::Draining => Capacity::default(),
+            TargetCondition::Probation if !self.runs.is_empty() => Capacity::default(),
             TargetCondition::Probation | TargetCondition::Ready => {
                 profile.capacity.without(&self.runs.used())
             }
--- a/crates/mastknot_core/src/agent/target_link.rs
+++ b/crates/mastknot_core/src/agent/target_link.rs
@@ -125,7 +125,7 @@
         let reported = self
             .profile
             .as_ref()
-            .map_or(0, |profile| profile.id.born_ms);
+            .map_or(0, |profile| profile.id.started_at_ms);
         let shares_name = self.born_ms.max(reported) != 0;
         let used = self.token.map_or(self.token_floor, |token| token + 1);
         *self = Self {
--- a/crates/mastknot_core/src/agent/target_reports.rs
+++ b/crates/mastknot_core/src/agent/target_reports.rs
@@ -126,7 +126,7 @@
             self.decided(AgentDecision::LateReport { target });
             return;
         }
-        if self.target_id().is_none() && self.is_other_birth(target.born_ms) {
+        if self.target_id().is_none() && self.is_other_birth(target.started_at_ms) {
             // The life that has answered so far has not reported; this one began after it.
             self.instance_over(now, EndOfLife::Crashed);
         }
@@ -174,7 +174,7 @@
     /// A profile from before is good for the life of the target that said it: orders and looks
     /// name that life, and another one refuses them.
     pub(super) fn target_remembered(&mut self, profile: TargetProfile) {
-        let is_other = self.is_other_birth(profile.id.born_ms);
+        let is_other = self.is_other_birth(profile.id.started_at_ms);
         if self.link.profile.is_none() && !self.link.has_lost_instance && !is_other {
             self.link.profile = Some(profile);
         }
@@ -188,7 +188,7 @@
         };
         if known == *target {
             self.instance_replaced(now, EndOfLife::Left);
-        } else if known.name == target.name && target.born_ms == 0 {
+        } else if known.name == target.name && target.started_at_ms == 0 {
             self.look = None;
             self.look_not_before = now;
         }
--- a/crates/mastknot_core/src/config/config_write.rs
+++ b/crates/mastknot_core/src/config/config_write.rs
@@ -99,7 +99,7 @@
     }
 
     /// The store has answered a swap, or has not.
-    pub fn called(&mut self, call: WriteCall) -> WriteStep {
+    pub fn on_call_result(&mut self, call: WriteCall) -> WriteStep {
         match call {
             WriteCall::Swapped(revision) => WriteStep::Accepted(revision),
             WriteCall::NotSwapped => WriteStep::ReadBack,
@@ -111,7 +111,7 @@
     }
 
     /// The store has answered the read.
-    pub fn read_back(&self, found: Option<(u64, StoredResource)>) -> WriteStep {
+    pub fn on_read_back(&self, found: Option<(u64, StoredResource)>) -> WriteStep {
         let revision = found.as_ref().map_or(0, |(revision, _)| *revision);
         let nonce = found.as_ref().map(|(_, resource)| &resource.nonce);
         if nonce == Some(&self.resource.nonce) {
--- a/crates/mastknot_core/src/config/hall_share.rs
+++ b/crates/mastknot_core/src/config/hall_share.rs
@@ -24,7 +24,7 @@
         source: serde_json::Error,
     },
     /// The weight is out of its range.
-    #[snafu(display("`weight` is {weight}, allowed is 1 to {}", ShareWeights::MOST))]
+    #[snafu(display("`weight` is {weight}, allowed is 1 to {}", ShareWeights::MAX))]
     Weight {
         /// The weight.
         weight: u32,
@@ -42,6 +42,6 @@
 
     /// Whether a hall may have this weight.
     pub fn is_weight(weight: u32) -> bool {
-        (1..=ShareWeights::MOST).contains(&weight)
+        (1..=ShareWeights::MAX).contains(&weight)
     }
 }
--- a/crates/mastknot_core/src/entry/peers.rs
+++ b/crates/mastknot_core/src/entry/peers.rs
@@ -20,7 +20,7 @@
         message: PeerMessage,
         out: &mut Vec<EntryEffect>,
     ) {
-        self.membership.peer_heard(now, &peer.name);
+        self.membership.peer_message_received(now, &peer.name);
         match message {
             PeerMessage::Hello {
                 member,
@@ -28,13 +28,13 @@
                 config_version,
             } => {
                 self.with_membership(now, out, |m, e| {
-                    m.peer_joined(now, &member, roster_version, e)
+                    m.peer_connected(now, &member, roster_version, e)
                 });
                 self.peer_config_known(&member.id.name, config_version, out);
             }
             PeerMessage::Confirm { nonce, version } => {
                 self.with_membership(now, out, |m, e| {
-                    m.confirm_asked(now, &peer.name, nonce, version, e);
+                    m.confirmation_requested(now, &peer.name, nonce, version, e);
                 });
             }
             PeerMessage::Confirmed { nonce, version } => {
@@ -45,7 +45,7 @@
                 self.membership.peer_adopted(now, &peer.name, version);
             }
             PeerMessage::Join(member) => {
-                self.with_membership(now, out, |m, e| m.join_asked(now, member, e));
+                self.with_membership(now, out, |m, e| m.join_requested(now, member, e));
             }
             PeerMessage::Forward {
                 request,
@@ -100,11 +100,11 @@
     }
 
     fn roster_told(&mut self, now: Now, roster: Roster, out: &mut Vec<EntryEffect>) {
-        self.with_membership(now, out, |m, e| m.roster_told(now, roster, e));
+        self.with_membership(now, out, |m, e| m.roster_received(now, roster, e));
     }
 
     pub(super) fn peer_lost(&mut self, now: Now, peer: &MemberId, out: &mut Vec<EntryEffect>) {
-        self.membership.peer_left(&peer.name);
+        self.membership.peer_disconnected(&peer.name);
         self.team_use.remove(&peer.name);
         self.dispatcher.forget_peer(&peer.name);
         self.fail_forwards(&peer.name, out);
--- a/crates/mastknot_core/src/entry/sides.rs
+++ b/crates/mastknot_core/src/entry/sides.rs
@@ -34,7 +34,10 @@
         }
         match message {
             SideMessage::Hello(_) | SideMessage::Heartbeat => {}
-            SideMessage::Grant { credits, resting } => {
+            SideMessage::Grant {
+                credits,
+                idle_slots: resting,
+            } => {
                 self.with_dispatcher(now, out, |d, e| d.granted(at, &side, &credits, resting, e));
             }
             SideMessage::Answer {
@@ -42,7 +45,7 @@
                 outcome,
                 run_micros,
                 next,
-                resting,
+                idle_slots: resting,
             } => {
                 self.dispatcher.note_resting(at, &side, resting);
                 let run = Duration::from_micros(u64::from(run_micros));
--- a/crates/mastknot_core/src/job/room.rs
+++ b/crates/mastknot_core/src/job/capacity.rs
@@ -2,7 +2,7 @@
 
 /// What a task takes, or a target has: processor, memory, accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Room {
+pub struct Capacity {
     /// Thousandths of a core.
     pub cpu_millis: u32,
     /// Megabytes.
@@ -11,9 +11,9 @@
     pub accelerators: u32,
 }
 
-impl Room {
+impl Capacity {
     /// Whether `task` fits into this.
-    pub fn holds(&self, task: &Self) -> bool {
+    pub fn covers(&self, task: &Self) -> bool {
         task.cpu_millis <= self.cpu_millis
             && task.memory_mb <= self.memory_mb
             && task.accelerators <= self.accelerators
@@ -58,7 +58,7 @@
     }
 
     /// The smallest share of `whole` that this is, in thousandths: what there is least of decides how much fits in.
-    pub fn scarcest_permille_of(&self, whole: &Self) -> u32 {
+    pub fn min_permille_of(&self, whole: &Self) -> u32 {
         let share = |part: u32, whole: u32| match whole {
             0 => None,
             whole => Some((u64::from(part) * 1_000 / u64::from(whole)) as u32),
@@ -72,7 +72,7 @@
     }
 
     /// The largest share of `whole` that this takes, in thousandths.
-    pub fn permille_of(&self, whole: &Self) -> u32 {
+    pub fn max_permille_of(&self, whole: &Self) -> u32 {
         let share = |part: u32, whole: u32| match whole {
             0 => 0,
             whole => (u64::from(part) * 1_000 / u64::from(whole)) as u32,
--- a/crates/mastknot_core/src/job/entry_order.rs
+++ b/crates/mastknot_core/src/job/entry_order.rs
@@ -3,7 +3,7 @@
 use bincode::{Decode, Encode};
 
 use super::{
-    DocumentPart, DocumentRequest, EntryNews, JobClaim, JobId, KnownEntry, Room, RunId,
+    Capacity, DocumentPart, DocumentRequest, EntryUpdate, JobClaim, JobId, KnownEntry, RunId,
     TargetProfile, TaskKind, WaitingNeed,
 };
 use crate::types::{Hall, Incarnation, NodeName};
@@ -20,7 +20,7 @@
     /// What it last knew of the side's target, for a side that has just started.
     pub remembered_target: Option<TargetProfile>,
     /// What the side may ask it for.
-    pub news: EntryNews,
+    pub update: EntryUpdate,
 }
 
 /// Starts a task.
@@ -31,7 +31,7 @@
     /// What the target is given.
     pub payload: Arc<str>,
     /// What the task takes.
-    pub room: Room,
+    pub required_capacity: Capacity,
     /// A guess of its time, in milliseconds.
     pub estimate_ms: u32,
     /// What it has in common with tasks that run the same program.
@@ -46,7 +46,7 @@
     /// How long it may wait for room at the side, in milliseconds; 0: it is turned away if there is none.
     pub may_wait_ms: u32,
     /// The highest report number that the entry has received: its lease counts from there when the start is judged.
-    pub heard: u64,
+    pub last_received: u64,
 }
 
 /// A run that an entry takes over from a side's earlier life.
@@ -55,7 +55,7 @@
     /// The run.
     pub run: RunId,
     /// What it takes.
-    pub room: Room,
+    pub required_capacity: Capacity,
     /// A guess of its time, in milliseconds.
     pub estimate_ms: u32,
     /// What it has in common with tasks that run the same program.
@@ -77,11 +77,11 @@
     /// report with this number.
     Heartbeat {
         /// The highest report number that the entry has received.
-        heard: u64,
+        last_received: u64,
         /// What waits at the entry for room.
         need: Option<WaitingNeed>,
         /// What the side may ask for, if that has changed since it was told.
-        news: Option<EntryNews>,
+        update: Option<EntryUpdate>,
     },
     /// No start comes from this entry until it says otherwise: both ends say little on this link, and
     /// no lease counts on it.
--- a/crates/mastknot_core/src/job/entry_news.rs
+++ b/crates/mastknot_core/src/job/entry_update.rs
@@ -6,7 +6,7 @@
 
 /// What an entry has that a side may lack; the side asks for what is not in here.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct EntryNews {
+pub struct EntryUpdate {
     /// The version of the configuration that this side is to hold, 0 for none.
     pub config_version: u64,
     /// The digest of the entries that it knows ([`directory_digest`](super::directory_digest)).
@@ -16,14 +16,14 @@
     pub drained: Arc<DrainedHalls>,
     /// Whether queues of several priorities compete for the targets: room that is short is then granted, to one entry
     /// at a time.
-    pub grants_room: bool,
+    pub grants_capacity: bool,
     /// Whether room that is short goes by the shares of halls, among needs that are equally urgent.
-    pub shares_room: bool,
+    pub shares_capacity: bool,
     /// How room that is short is shared between halls.
     pub shares: Arc<ShareWeights>,
 }
 
-impl EntryNews {
+impl EntryUpdate {
     /// The same for one side: only those that hold the configuration are told of its version.
     pub fn for_side(&self, holds_documents: bool) -> Self {
         let config_version = match holds_documents {
--- a/crates/mastknot_core/src/job/learned_profile.rs
+++ b/crates/mastknot_core/src/job/learned_profile.rs
@@ -22,7 +22,7 @@
     /// When it was written, in Unix milliseconds.
     pub written_ms: u64,
     /// How the runs of each queue on each class of targets have gone.
-    pub paces: Vec<LearnedPace>,
+    pub slowdowns: Vec<LearnedSlowdown>,
     /// How long the steps of each queue have taken.
     pub run_times: Vec<LearnedRunTimes>,
     /// Kinds of tasks that crash the targets on which they start.
@@ -31,7 +31,7 @@
 
 /// How the runs of one queue on one class of targets have gone.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct LearnedPace {
+pub struct LearnedSlowdown {
     /// The queue.
     pub queue: Arc<str>,
     /// The class.
@@ -50,11 +50,11 @@
     /// How many steps that tells of.
     pub steps: u32,
     /// The mean logarithm of the guesses, in seconds.
-    pub log_guess: f64,
+    pub log_estimate: f64,
     /// The mean logarithm of the times, in seconds.
-    pub log_ran: f64,
+    pub log_run_time: f64,
     /// The variance of the logarithms of the guesses.
-    pub guess_variance: f64,
+    pub estimate_variance: f64,
     /// The covariance of the logarithms of guesses and times.
     pub covariance: f64,
 }
@@ -67,15 +67,15 @@
     /// After what time targets have crashed under its tasks, in milliseconds.
     pub crashed_after_ms: u32,
     /// The part of the targets that it has, in thousandths.
-    pub part_per_mille: u16,
+    pub share_per_mille: u16,
     /// The first sides whose targets it has crashed, in the order of the crashes.
-    pub crashed: Vec<NodeName>,
+    pub crashed_sides: Vec<NodeName>,
 }
 
 impl LearnedProfile {
     /// How many beliefs it has.
-    pub fn beliefs(&self) -> usize {
-        self.paces.len() + self.run_times.len() + self.suspects.len()
+    pub fn prior_count(&self) -> usize {
+        self.slowdowns.len() + self.run_times.len() + self.suspects.len()
     }
 
     /// How long ago it was written; zero if the writer's clock is ahead.
@@ -89,13 +89,13 @@
         let halvings = (age.as_secs() / HALF_LIFE.as_secs()) as u32;
         let counted = |runs: u32| runs.min(MOST_RUNS).checked_shr(halvings).unwrap_or(0);
         let mut aged = self.clone();
-        for pace in &mut aged.paces {
+        for pace in &mut aged.slowdowns {
             pace.runs = counted(pace.runs);
         }
         for times in &mut aged.run_times {
             times.steps = counted(times.steps);
         }
-        aged.paces.retain(|pace| pace.runs > 0);
+        aged.slowdowns.retain(|pace| pace.runs > 0);
         aged.run_times.retain(|times| times.steps > 0);
         if age > SUSPECTS_BELIEVED {
             aged.suspects.clear();
--- a/crates/mastknot_core/src/job/profile_codec.rs
+++ b/crates/mastknot_core/src/job/profile_codec.rs
@@ -11,7 +11,7 @@
     CutSnafu, DamagedSnafu, MalformedSnafu, OtherFormatSnafu, ProfileError, TooLargeSnafu,
     UnsoundSnafu, UnwritableSnafu,
 };
-use super::{LearnedPace, LearnedProfile, LearnedRunTimes, LearnedSuspect};
+use super::{LearnedProfile, LearnedRunTimes, LearnedSlowdown, LearnedSuspect};
 
 /// The most bytes of a profile: a store holds some hundred kilobytes under a key, and this is read at each start.
 pub const MAX_PROFILE_BYTES: usize = 32 * 1024;
@@ -40,10 +40,12 @@
             if HEADER_BYTES + body.len() <= MAX_PROFILE_BYTES {
                 return Ok(framed(&body));
             }
-            kept.paces.truncate(kept.paces.len() / 2);
+            kept.slowdowns.truncate(kept.slowdowns.len() / 2);
             kept.run_times.truncate(kept.run_times.len() / 2);
             for suspect in &mut kept.suspects {
-                suspect.crashed.truncate(suspect.crashed.len() / 2);
+                suspect
+                    .crashed_sides
+                    .truncate(suspect.crashed_sides.len() / 2);
             }
         }
     }
@@ -59,33 +61,34 @@
 
     fn bounded(&self) -> Self {
         let mut kept = self.clone();
-        kept.paces.retain(LearnedPace::is_sound);
+        kept.slowdowns.retain(LearnedSlowdown::is_sound);
         kept.run_times.retain(LearnedRunTimes::is_sound);
         for suspect in &mut kept.suspects {
-            suspect.crashed.truncate(MAX_CRASHED);
+            suspect.crashed_sides.truncate(MAX_CRASHED);
         }
         kept.suspects.retain(LearnedSuspect::is_sound);
-        kept.paces.sort_by_key(|pace| std::cmp::Reverse(pace.runs));
+        kept.slowdowns
+            .sort_by_key(|pace| std::cmp::Reverse(pace.runs));
         kept.run_times
             .sort_by_key(|times| std::cmp::Reverse(times.steps));
-        kept.paces.truncate(MAX_PACES);
+        kept.slowdowns.truncate(MAX_PACES);
         kept.run_times.truncate(MAX_RUN_TIMES);
         kept.suspects.truncate(MAX_SUSPECTS);
         kept
     }
 
     fn is_sound(&self) -> bool {
-        let is_small = self.paces.len() <= MAX_PACES
+        let is_small = self.slowdowns.len() <= MAX_PACES
             && self.run_times.len() <= MAX_RUN_TIMES
             && self.suspects.len() <= MAX_SUSPECTS;
         is_small
-            && self.paces.iter().all(LearnedPace::is_sound)
+            && self.slowdowns.iter().all(LearnedSlowdown::is_sound)
             && self.run_times.iter().all(LearnedRunTimes::is_sound)
             && self.suspects.iter().all(LearnedSuspect::is_sound)
     }
 }
 
-impl LearnedPace {
+impl LearnedSlowdown {
     fn is_sound(&self) -> bool {
         is_name(&self.queue) && is_name(&self.class) && is_log(self.log_ratio)
     }
@@ -93,22 +96,22 @@
 
 impl LearnedRunTimes {
     fn is_sound(&self) -> bool {
-        let variances = [self.guess_variance, self.covariance];
+        let variances = [self.estimate_variance, self.covariance];
         is_name(&self.queue)
-            && is_log(self.log_guess)
-            && is_log(self.log_ran)
+            && is_log(self.log_estimate)
+            && is_log(self.log_run_time)
             && variances
                 .iter()
                 .all(|value| value.abs() <= MAX_LOG * MAX_LOG)
-            && self.guess_variance >= 0.0
+            && self.estimate_variance >= 0.0
     }
 }
 
 impl LearnedSuspect {
     fn is_sound(&self) -> bool {
-        let mut names = self.crashed.iter();
-        (1..=PER_MILLE).contains(&self.part_per_mille)
-            && self.crashed.len() <= MAX_CRASHED
+        let mut names = self.crashed_sides.iter();
+        (1..=PER_MILLE).contains(&self.share_per_mille)
+            && self.crashed_sides.len() <= MAX_CRASHED
             && names.all(|name| name.as_str().len() <= MAX_NAME_BYTES)
     }
 }
--- a/crates/mastknot_core/src/job/queue_ranks.rs
+++ b/crates/mastknot_core/src/job/queue_ranks.rs
@@ -15,7 +15,7 @@
 
 impl QueueRanks {
     /// A queue of this service has this priority.
-    pub fn note(&mut self, service: &str, priority: u32) {
+    pub fn record(&mut self, service: &str, priority: u32) {
         if let Some(known) = self.services.get_mut(service) {
             known.has_others |= known.first != priority;
             return;
--- a/crates/mastknot_core/src/job/share_weights.rs
+++ b/crates/mastknot_core/src/job/share_weights.rs
@@ -20,12 +20,12 @@
 
 impl ShareWeights {
     /// The largest weight.
-    pub const MOST: u32 = 10_000;
+    pub const MAX: u32 = 10_000;
 
     /// The weight of a hall, 1 to [`ShareWeights::MOST`].
     pub fn of_hall(&self, hall: &Hall) -> u32 {
         let weight = self.halls.get(hall).copied();
-        weight.unwrap_or(USUAL_WEIGHT).clamp(1, Self::MOST)
+        weight.unwrap_or(USUAL_WEIGHT).clamp(1, Self::MAX)
     }
 
     /// Whether this takes the place of what is known.
--- a/crates/mastknot_core/src/job/side_load.rs
+++ b/crates/mastknot_core/src/job/side_load.rs
@@ -13,5 +13,5 @@
     /// How many entries use the side for starts.
     pub entries: u16,
     /// When a task of the usual size is next expected to find room, in milliseconds; 0 if it does now.
-    pub room_in_ms: u32,
+    pub free_capacity_in_ms: u32,
 }
--- a/crates/mastknot_core/src/job/side_report.rs
+++ b/crates/mastknot_core/src/job/side_report.rs
@@ -4,8 +4,8 @@
 use bincode::{Decode, Encode};
 
 use super::{
-    ClaimAnswer, DocumentPart, DocumentRequest, DrainedHalls, EndOfRun, JobId, Room, RoomGrant,
-    RunId, SideLoad, TargetCrash, TargetProfile,
+    Capacity, CapacityGrant, ClaimAnswer, DocumentPart, DocumentRequest, DrainedHalls, EndOfRun,
+    JobId, RunId, SideLoad, TargetCrash, TargetProfile,
 };
 use crate::types::{Hall, Incarnation, NodeName};
 
@@ -71,13 +71,13 @@
     /// How many starts of this entry on this link the figures below include.
     pub starts_included: u64,
     /// What this entry may start now.
-    pub free: Room,
+    pub free: Capacity,
     /// What is free besides, and not this entry's to start, where room is granted.
-    pub hidden: Room,
+    pub withheld: Capacity,
     /// Whether some of it is kept for this entry, until its next heartbeat.
     pub is_offer: bool,
     /// What of it is granted to this entry alone, where room is granted.
-    pub grant: Option<RoomGrant>,
+    pub grant: Option<CapacityGrant>,
     /// What waits at the side, where room is granted and something waits or has just ceased to.
     pub load: Option<SideLoad>,
     /// Whether it takes work.
@@ -87,7 +87,7 @@
     /// Whether the target is slower than usual for a while: it has just started or stood without work.
     pub is_cold: bool,
     /// Recent run times against their estimates, in percent.
-    pub pace_percent: u32,
+    pub slowdown_percent: u32,
     /// The target, when it has changed since the last report on this link.
     pub target: Option<TargetProfile>,
     /// Runs of this entry that have ended.
--- a/crates/mastknot_core/src/job/step_spec.rs
+++ b/crates/mastknot_core/src/job/step_spec.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Room;
+use super::Capacity;
 
 /// A step of a job: tasks of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     /// How many tasks.
     pub count: u16,
     /// What each takes.
-    pub room: Room,
+    pub required_capacity: Capacity,
     /// A guess of a task's time.
     pub estimate: Duration,
     /// Earlier steps that must be done first.
--- a/crates/mastknot_core/src/job/target_crash.rs
+++ b/crates/mastknot_core/src/job/target_crash.rs
@@ -49,7 +49,7 @@
 
 /// Whether a task that ran for these times until its targets crashed may have crashed both: what a task does to
 /// a target comes at the same point of its work, while a crash of other causes finds it at any.
-pub fn ran_alike(first: Duration, second: Duration) -> bool {
+pub fn are_similar_run_times(first: Duration, second: Duration) -> bool {
     let shorter = first.min(second);
     first.abs_diff(second) <= ALIKE_SLACK + shorter / ALIKE_SHARE
 }
--- a/crates/mastknot_core/src/message/side_message.rs
+++ b/crates/mastknot_core/src/message/side_message.rs
@@ -73,7 +73,7 @@
         /// The credits.
         credits: Vec<Credit>,
         /// Slots that are neither taken nor granted.
-        resting: u16,
+        idle_slots: u16,
     },
     /// A task has ended; the next credit rides along.
     Answer {
@@ -86,7 +86,7 @@
         /// The next credit for this entry, if the slot stays with it.
         next: Option<Credit>,
         /// Slots that are neither taken nor granted.
-        resting: u16,
+        idle_slots: u16,
     },
     /// A task was not started.
     NotRun {
--- a/crates/mastknot_core/src/profile/mod.rs
+++ b/crates/mastknot_core/src/profile/mod.rs
@@ -7,14 +7,14 @@
 
 mod profile_call;
 mod profile_ledger;
-mod profile_news;
 mod profile_offer;
 mod profile_read;
-mod profile_turn;
+mod profile_update;
+mod profile_write_schedule;
 
 pub use profile_call::{ProfileCall, ProfileWrite};
 pub use profile_ledger::ProfileLedger;
-pub use profile_news::{ProfileNews, profile_news};
 pub use profile_offer::ProfileOffer;
 pub use profile_read::ProfileRead;
-pub use profile_turn::ProfileTurn;
+pub use profile_update::{ProfileUpdate, profile_update};
+pub use profile_write_schedule::ProfileWriteSchedule;
--- a/crates/mastknot_core/src/profile/profile_ledger.rs
+++ b/crates/mastknot_core/src/profile/profile_ledger.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{ProfileCall, ProfileOffer, ProfileRead, ProfileTurn, ProfileWrite};
+use super::{ProfileCall, ProfileOffer, ProfileRead, ProfileWrite, ProfileWriteSchedule};
 use crate::job::{LearnedProfile, ProfileError};
 use crate::types::Moment;
 
@@ -24,7 +24,7 @@
     unanswered: Option<Vec<u8>>,
     /// What is being written.
     writing: Option<(Vec<u8>, Arc<LearnedProfile>)>,
-    turn: ProfileTurn,
+    turn: ProfileWriteSchedule,
     pause: Duration,
     paused_until: Option<Moment>,
 }
@@ -37,7 +37,7 @@
             has_read: false,
             unanswered: None,
             writing: None,
-            turn: ProfileTurn::default(),
+            turn: ProfileWriteSchedule::default(),
             pause: FIRST_PAUSE,
             paused_until: None,
         }
@@ -67,8 +67,8 @@
         let Some(expected) = self.revision else {
             return Ok(Some(ProfileCall::Read));
         };
-        let news = offer.as_ref().map(|offer| offer.news);
-        let place = offer.as_ref().map_or(0, |offer| offer.place);
+        let news = offer.as_ref().map(|offer| offer.update);
+        let place = offer.as_ref().map_or(0, |offer| offer.writer_rank);
         let age = offer.as_ref().and_then(|offer| self.known_age(offer));
         if !self.turn.is_due(now, news, place, age) {
             return Ok(None);
@@ -95,7 +95,7 @@
     }
 
     /// The document was read: its revision and value, or that there is none.
-    pub fn note_read(&mut self, now: Moment, item: Option<(u64, &[u8])>) -> ProfileRead {
+    pub fn record_read(&mut self, now: Moment, item: Option<(u64, &[u8])>) -> ProfileRead {
         self.succeed();
         let unanswered = self.unanswered.take();
         let writing = self.writing.take();
@@ -108,7 +108,7 @@
         self.revision = Some(revision);
         if unanswered.is_some_and(|sent| sent == value) {
             self.known = writing.map(|(_, profile)| profile).or(self.known.take());
-            self.turn.note_change(now);
+            self.turn.record_change(now);
             return ProfileRead::Known;
         }
         self.take(now, value, is_first)
@@ -119,11 +119,11 @@
             Ok(profile) if self.known.as_deref() == Some(&profile) => ProfileRead::Known,
             Ok(profile) => {
                 if !is_first {
-                    self.turn.note_change(now);
+                    self.turn.record_change(now);
                 }
                 let profile = Arc::new(profile);
                 self.known = Some(Arc::clone(&profile));
-                ProfileRead::News(profile)
+                ProfileRead::Update(profile)
             }
             Err(error) => {
                 self.known = None;
@@ -133,18 +133,18 @@
     }
 
     /// A read had no result.
-    pub fn note_read_failed(&mut self, now: Moment) {
+    pub fn record_read_failure(&mut self, now: Moment) {
         self.fail(now);
     }
 
     /// What became of the write.
-    pub fn note_write(&mut self, now: Moment, write: ProfileWrite) {
+    pub fn record_write(&mut self, now: Moment, write: ProfileWrite) {
         match write {
             ProfileWrite::Done { revision } => {
                 self.succeed();
                 self.revision = Some(revision);
                 self.known = self.writing.take().map(|(_, profile)| profile);
-                self.turn.note_change(now);
+                self.turn.record_change(now);
             }
             ProfileWrite::Changed => {
                 self.succeed();
--- a/crates/mastknot_core/src/profile/profile_offer.rs
+++ b/crates/mastknot_core/src/profile/profile_offer.rs
@@ -1,4 +1,4 @@
-use super::ProfileNews;
+use super::ProfileUpdate;
 use crate::job::LearnedProfile;
 
 /// What an entry would write, and why.
@@ -7,7 +7,7 @@
     /// What it believes now.
     pub profile: LearnedProfile,
     /// What is new in it.
-    pub news: ProfileNews,
+    pub update: ProfileUpdate,
     /// The entry's place in the order in which entries write: 0 writes, others only if those before them do not.
-    pub place: usize,
+    pub writer_rank: usize,
 }
--- a/crates/mastknot_core/src/profile/profile_read.rs
+++ b/crates/mastknot_core/src/profile/profile_read.rs
@@ -10,7 +10,7 @@
     /// What was read before, or what this process has written itself.
     Known,
     /// Another process's beliefs.
-    News(Arc<LearnedProfile>),
+    Update(Arc<LearnedProfile>),
     /// Something that can't be read; what is believed stays as it is.
     NotTaken(ProfileError),
 }
--- a/crates/mastknot_core/src/profile/profile_turn.rs
+++ b/crates/mastknot_core/src/profile/profile_write_schedule.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::ProfileNews;
+use super::ProfileUpdate;
 use crate::types::Moment;
 
 /// No process writes within this time of a write that it knows of.
@@ -18,7 +18,7 @@
 
 /// When a process writes: the first entry by rank when it has news, others when the document should have changed and has not.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ProfileTurn {
+pub struct ProfileWriteSchedule {
     /// When the document changed last, as far as this process knows.
     changed: Option<Moment>,
     /// Since when there has been news of any kind.
@@ -27,9 +27,9 @@
     suspect_since: Option<Moment>,
 }
 
-impl ProfileTurn {
+impl ProfileWriteSchedule {
     /// The document has changed.
-    pub fn note_change(&mut self, now: Moment) {
+    pub fn record_change(&mut self, now: Moment) {
         *self = Self {
             changed: Some(now),
             ..Self::default()
@@ -40,11 +40,11 @@
     pub fn is_due(
         &mut self,
         now: Moment,
-        news: Option<ProfileNews>,
+        news: Option<ProfileUpdate>,
         place: usize,
         age: Option<Duration>,
     ) -> bool {
-        let is_suspect = news == Some(ProfileNews::Suspect);
+        let is_suspect = news == Some(ProfileUpdate::Suspect);
         self.news_since = news.and(self.news_since.or(Some(now)));
         self.suspect_since = match is_suspect {
             true => self.suspect_since.or(Some(now)),
--- a/crates/mastknot_core/src/relay/document_fetch.rs
+++ b/crates/mastknot_core/src/relay/document_fetch.rs
@@ -52,7 +52,7 @@
     }
 
     /// The other end of a link has a version, 0 for none.
-    pub fn note_offer(&mut self, source: S, version: u64) {
+    pub fn record_offer(&mut self, source: S, version: u64) {
         self.offers.insert(source, version);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// A part has come; returns the document when it is whole.
-    pub fn take_part(&mut self, source: S, part: DocumentPart) -> Option<ConfigDocument> {
+    pub fn receive_part(&mut self, source: S, part: DocumentPart) -> Option<ConfigDocument> {
         let transfer = self.transfer.as_mut()?;
         if transfer.source != source || part.total > LONGEST_DOCUMENT {
             return None;
--- a/crates/mastknot_core/src/roster/adopting.rs
+++ b/crates/mastknot_core/src/roster/adopting.rs
@@ -9,7 +9,7 @@
 
 impl Membership {
     /// A peer told of a roster.
-    pub fn roster_told(&mut self, now: Now, roster: Roster, out: &mut Vec<MembershipEffect>) {
+    pub fn roster_received(&mut self, now: Now, roster: Roster, out: &mut Vec<MembershipEffect>) {
         if roster.version > self.version() {
             // The store's revision of this version is not known yet.
             self.revision = 0;
--- a/crates/mastknot_core/src/roster/membership.rs
+++ b/crates/mastknot_core/src/roster/membership.rs
@@ -96,7 +96,7 @@
         let patience = self
             .read_sent_at
             .filter(|_| self.round.is_none() && self.is_fresh(now))
-            .map(|at| at + self.settings.store_patience);
+            .map(|at| at + self.settings.store_timeout);
         patience.map_or(renew, |patience| renew.min(patience.max(now)))
     }
 
@@ -114,7 +114,7 @@
         }
         let is_store_slow = self
             .read_sent_at
-            .is_some_and(|at| now.monotonic.since(at) >= self.settings.store_patience);
+            .is_some_and(|at| now.monotonic.since(at) >= self.settings.store_timeout);
         if is_store_slow && self.round.is_none() {
             self.ask_peers(now, out);
         }
--- a/crates/mastknot_core/src/roster/membership_settings.rs
+++ b/crates/mastknot_core/src/roster/membership_settings.rs
@@ -10,7 +10,7 @@
     /// How often it is renewed.
     pub renew_interval: Duration,
     /// How long the store may take before the peers are asked.
-    pub store_patience: Duration,
+    pub store_timeout: Duration,
     /// How long a member may be silent before it is voted out of the roster.
     pub silence: Duration,
     /// The longest life of a credit on any side.
@@ -28,7 +28,7 @@
         Self {
             authority: Duration::from_millis(1_000),
             renew_interval: Duration::from_millis(300),
-            store_patience: Duration::from_millis(150),
+            store_timeout: Duration::from_millis(150),
             silence: Duration::from_millis(1_500),
             credit_lifetime: Duration::from_millis(1_500),
             clock_drift_percent: 2,
--- a/crates/mastknot_core/src/roster/peers.rs
+++ b/crates/mastknot_core/src/roster/peers.rs
@@ -20,7 +20,7 @@
     }
 
     /// A link to a peer stands and it said who it is.
-    pub fn peer_joined(
+    pub fn peer_connected(
         &mut self,
         now: Now,
         member: &Member,
@@ -52,7 +52,7 @@
     }
 
     /// The link to a peer broke, which proves nothing about it.
-    pub fn peer_left(&mut self, peer: &NodeName) {
+    pub fn peer_disconnected(&mut self, peer: &NodeName) {
         if let Some(view) = self.peers.get_mut(peer) {
             view.is_connected = false;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Anything came from a peer.
-    pub fn peer_heard(&mut self, now: Now, peer: &NodeName) {
+    pub fn peer_message_received(&mut self, now: Now, peer: &NodeName) {
         self.view(now.monotonic, peer).heard_at = now.monotonic;
     }
 
--- a/crates/mastknot_core/src/roster/proposing.rs
+++ b/crates/mastknot_core/src/roster/proposing.rs
@@ -20,7 +20,7 @@
 
 impl Membership {
     /// A newcomer asks to be written into the roster.
-    pub fn join_asked(&mut self, now: Now, member: Member, out: &mut Vec<MembershipEffect>) {
+    pub fn join_requested(&mut self, now: Now, member: Member, out: &mut Vec<MembershipEffect>) {
         if self.is_in_roster(&member.id) {
             return;
         }
--- a/crates/mastknot_core/src/roster/renewing.rs
+++ b/crates/mastknot_core/src/roster/renewing.rs
@@ -105,7 +105,7 @@
     }
 
     /// A peer asks whether this entry still stands by a version.
-    pub fn confirm_asked(
+    pub fn confirmation_requested(
         &mut self,
         now: Now,
         peer: &NodeName,
--- a/crates/mastknot_core/src/scheduler/claiming.rs
+++ b/crates/mastknot_core/src/scheduler/claiming.rs
@@ -13,7 +13,7 @@
 use super::side_view::SideView;
 use super::{SchedulerDecision, SessionId};
 use crate::job::{ClaimAnswer, EntryOrder, JobAnswer, JobClaim, JobId};
-use crate::types::{Moment, NodeName, mixed};
+use crate::types::{Moment, NodeName, mix_bits};
 
 /// Which sides are asked about a job: the lowest ranks of those that are linked, the same at all entries.
 type ClaimRank<'a> = (u64, &'a NodeName);
@@ -22,7 +22,7 @@
 pub(super) const ASKED_SIDES: usize = 2;
 
 fn claim_rank<'a>(job: JobId, name: &'a NodeName, side: &SideView) -> ClaimRank<'a> {
-    (mixed(job.0 ^ mixed(u64::from(side.name_hash))), name)
+    (mix_bits(job.0 ^ mix_bits(u64::from(side.name_hash))), name)
 }
 
 /// A side that is linked or waited for.
--- a/crates/mastknot_core/src/scheduler/class_paces.rs
+++ b/crates/mastknot_core/src/scheduler/class_paces.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::job::LearnedPace;
+use crate::job::LearnedSlowdown;
 
 /// The weight of a new run against the mean so far.
 const WEIGHT: f64 = 1.0 / 64.0;
@@ -77,7 +77,7 @@
 
     /// Takes another process's belief where it stands on more runs; the next run works the paces out again, as other targets
     /// may be known by then.
-    pub(crate) fn believe(&mut self, learned: &LearnedPace) {
+    pub(crate) fn believe(&mut self, learned: &LearnedSlowdown) {
         let key = (Arc::clone(&learned.queue), Arc::clone(&learned.class));
         if self.cells.len() == MAX_CELLS && !self.cells.contains_key(&key) {
             return;
@@ -92,14 +92,17 @@
     }
 
     /// What its runs have shown.
-    pub(crate) fn learned(&self) -> Vec<LearnedPace> {
-        let paces = self.cells.iter().map(|((queue, class), cell)| LearnedPace {
-            queue: Arc::clone(queue),
-            class: Arc::clone(class),
-            runs: cell.runs,
-            log_ratio: cell.off,
-        });
-        let mut paces: Vec<LearnedPace> = paces.collect();
+    pub(crate) fn learned(&self) -> Vec<LearnedSlowdown> {
+        let paces = self
+            .cells
+            .iter()
+            .map(|((queue, class), cell)| LearnedSlowdown {
+                queue: Arc::clone(queue),
+                class: Arc::clone(class),
+                runs: cell.runs,
+                log_ratio: cell.off,
+            });
+        let mut paces: Vec<LearnedSlowdown> = paces.collect();
         paces.sort_by(|one, other| (&one.queue, &one.class).cmp(&(&other.queue, &other.class)));
         paces
     }
--- a/crates/mastknot_core/src/scheduler/contained_kinds.rs
+++ b/crates/mastknot_core/src/scheduler/contained_kinds.rs
@@ -10,7 +10,8 @@
 use super::job_scheduler::JobScheduler;
 use super::side_view::{SideTrial, SideView};
 use crate::job::{
-    CrashedRun, JobAnswer, JobId, LearnedSuspect, TargetCrash, TaskKind, ran_alike, trial_time,
+    CrashedRun, JobAnswer, JobId, LearnedSuspect, TargetCrash, TaskKind, are_similar_run_times,
+    trial_time,
 };
 use crate::types::{Moment, NodeName, stable_hash_of};
 
@@ -249,7 +250,7 @@
             let own = self.crashes.suspect_ran(&task.name);
             usual
                 .zip(own)
-                .is_some_and(|(usual, own)| ran_alike(usual, own))
+                .is_some_and(|(usual, own)| are_similar_run_times(usual, own))
         })
     }
 
--- a/crates/mastknot_core/src/scheduler/containment.rs
+++ b/crates/mastknot_core/src/scheduler/containment.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::job::{CrashedRun, LearnedSuspect, TargetCrash, TaskKind, ran_alike};
+use crate::job::{CrashedRun, LearnedSuspect, TargetCrash, TaskKind, are_similar_run_times};
 use crate::types::{Moment, NodeName};
 
 /// So many runs at least have to do their work without a crash before their kind counts as sound.
@@ -141,9 +141,9 @@
             return false;
         }
         let ran = Duration::from_millis(u64::from(learned.crashed_after_ms));
-        let part = f64::from(learned.part_per_mille) / PER_MILLE;
+        let part = f64::from(learned.share_per_mille) / PER_MILLE;
         let suspect = SuspectKind {
-            crashed: learned.crashed.clone(),
+            crashed: learned.crashed_sides.clone(),
             ..SuspectKind::new(now, ran, part)
         };
         self.kinds.insert(learned.kind, suspect);
@@ -161,8 +161,8 @@
         let learned = contained.map(|(kind, known)| LearnedSuspect {
             kind: *kind,
             crashed_after_ms: known.ran.as_millis() as u32,
-            part_per_mille: (known.part * PER_MILLE).clamp(1.0, PER_MILLE) as u16,
-            crashed: known.crashed.clone(),
+            share_per_mille: (known.part * PER_MILLE).clamp(1.0, PER_MILLE) as u16,
+            crashed_sides: known.crashed.clone(),
         });
         learned.collect()
     }
@@ -172,7 +172,7 @@
     pub(crate) fn blamed(&self, crash: &TargetCrash) -> TargetCrash {
         let is_cause = |run: &CrashedRun| {
             let usual = self.ran(run.kind);
-            run.has_begun && usual.is_some_and(|usual| ran_alike(usual, run.ran()))
+            run.has_begun && usual.is_some_and(|usual| are_similar_run_times(usual, run.ran()))
         };
         let mut blamed = crash.clone();
         if !crash.was_silent && crash.runs.iter().any(is_cause) {
@@ -196,7 +196,7 @@
                 continue;
             }
             let ran = known.ran;
-            let is_like = of_kind.any(|run| ran_alike(run.ran(), ran));
+            let is_like = of_kind.any(|run| are_similar_run_times(run.ran(), ran));
             let is_cause = is_like && !crash.was_silent;
             if known.is_contained() {
                 known.note_crash(now);
--- a/crates/mastknot_core/src/scheduler/forecast.rs
+++ b/crates/mastknot_core/src/scheduler/forecast.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use super::{KnownLoad, LoadView};
-use crate::job::Room;
+use crate::job::Capacity;
 
 /// A wait beyond this is not told from one without end: no caller stays for so long.
 const LONGEST_WAIT: Duration = Duration::from_secs(30);
@@ -18,7 +18,7 @@
     /// How long tasks run that were placed of late: so long the room that comes free has been held.
     pub held_for: Duration,
     /// The room that the smallest of its waiting tasks takes.
-    pub smallest: Room,
+    pub smallest: Capacity,
     /// More urgent work that is expected to arrive at its entry, in thousandths of a core.
     pub arriving: f64,
     /// What the entry has got of the room that it was said to get, as a ratio.
@@ -59,8 +59,8 @@
     }
 
     /// Whether a target is believed to have room for a task.
-    pub fn has_room_for(&self, task: &Room) -> bool {
-        self.sides.iter().any(|side| side.free.holds(task))
+    pub fn has_room_for(&self, task: &Capacity) -> bool {
+        self.sides.iter().any(|side| side.free.covers(task))
     }
 
     /// The work that waits at the entry itself and is at least as urgent, in thousandths of a core times milliseconds.
--- a/crates/mastknot_core/src/scheduler/held_grants.rs
+++ b/crates/mastknot_core/src/scheduler/held_grants.rs
@@ -5,7 +5,7 @@
 
 use super::job_scheduler::JobScheduler;
 use super::{OrderKey, SchedulerDecision};
-use crate::job::{QueuePolicy, Room, RoomGrant, WaitingNeed};
+use crate::job::{Capacity, CapacityGrant, QueuePolicy, WaitingNeed};
 use crate::types::Moment;
 
 /// A start that finds its room taken may wait for so long at the side, in milliseconds: a target of ten tasks ends
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldGrant {
     /// What the entry may start.
-    pub(crate) room: Room,
+    pub(crate) room: Capacity,
     /// Until when.
     pub(crate) until: Moment,
     /// Whether it was made for what waits here: what is left is returned.
@@ -33,9 +33,9 @@
 
 impl HeldGrant {
     /// A grant that has come now.
-    pub(crate) fn new(now: Moment, grant: &RoomGrant, is_needed: bool) -> Self {
+    pub(crate) fn new(now: Moment, grant: &CapacityGrant, is_needed: bool) -> Self {
         Self {
-            room: grant.room,
+            room: grant.capacity,
             until: now + grant.valid(),
             is_needed,
         }
@@ -55,7 +55,7 @@
 impl ToldNeed {
     /// Whether sides are to hear at once of what waits now.
     fn is_news(&mut self, now: Moment, need: &WaitingNeed) -> bool {
-        let cpu_millis = need.room.cpu_millis;
+        let cpu_millis = need.required_capacity.cpu_millis;
         let is_same = need.rank == self.rank;
         let is_more = cpu_millis > self.left;
         self.left = cpu_millis;
@@ -126,7 +126,7 @@
         let Some(need) = self.waiting_need(now) else {
             return;
         };
-        let cpu_millis = need.room.cpu_millis;
+        let cpu_millis = need.required_capacity.cpu_millis;
         let told = self.told_need.as_mut();
         if !told.is_none_or(|told| told.is_news(now, &need)) {
             return;
@@ -137,7 +137,7 @@
             left: cpu_millis,
             at: now,
         });
-        let tasks = cpu_millis / need.smallest.cpu_millis.max(1);
+        let tasks = cpu_millis / need.smallest_task.cpu_millis.max(1);
         let most = (tasks as usize).clamp(LEAST_TOLD, MOST_TOLD);
         self.counters.needs_told += 1;
         let sides = self.mark_told(most);
--- a/crates/mastknot_core/src/scheduler/job_ends.rs
+++ b/crates/mastknot_core/src/scheduler/job_ends.rs
@@ -71,7 +71,7 @@
             self.demand.had.take_back(job.task_work(place));
         }
         let kind = job.kind(place);
-        let room = job.step(place).room;
+        let room = job.step(place).required_capacity;
         let guess = job.step(place).estimate;
         let queue = Arc::clone(&job.policy.name);
         let failures = job.tasks[place].counted_failures();
--- a/crates/mastknot_core/src/scheduler/job_work.rs
+++ b/crates/mastknot_core/src/scheduler/job_work.rs
@@ -1,7 +1,7 @@
 //! What a job asks of the targets.
 
 use super::active_job::{ActiveJob, TaskState};
-use crate::job::Room;
+use crate::job::Capacity;
 
 impl ActiveJob {
     /// The work of its tasks that wait, in thousandths of a core times milliseconds.
@@ -15,7 +15,7 @@
     pub(crate) fn waiting_room(&self) -> u64 {
         let waiting = self.waiting().into_iter();
         waiting
-            .map(|task| u64::from(self.step(task).room.cpu_millis))
+            .map(|task| u64::from(self.step(task).required_capacity.cpu_millis))
             .sum()
     }
 
@@ -23,7 +23,7 @@
     pub(crate) fn task_work(&self, task: usize) -> u64 {
         let step = usize::from(self.tasks[task].name.step);
         let millis = self.expected[step].as_millis() as u64;
-        u64::from(self.request.steps[step].room.cpu_millis) * millis
+        u64::from(self.request.steps[step].required_capacity.cpu_millis) * millis
     }
 
     /// The work of all its tasks.
@@ -32,9 +32,9 @@
     }
 
     /// The room that the smallest of its waiting tasks takes.
-    pub(crate) fn smallest_waiting(&self) -> Room {
+    pub(crate) fn smallest_waiting(&self) -> Capacity {
         let waiting = self.waiting().into_iter();
-        let rooms = waiting.map(|task| self.step(task).room);
+        let rooms = waiting.map(|task| self.step(task).required_capacity);
         rooms
             .reduce(|one, other| one.smaller_of(&other))
             .unwrap_or_default()
--- a/crates/mastknot_core/src/scheduler/kind_loads.rs
+++ b/crates/mastknot_core/src/scheduler/kind_loads.rs
@@ -1,7 +1,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::job::{Room, TaskKind};
+use crate::job::{Capacity, TaskKind};
 
 /// What each newer run leaves of the weight of those before: some minutes' work at one entry.
 const FADING: f64 = 1.0 - 1.0 / 1_024.0;
@@ -20,7 +20,7 @@
 
 impl KindLoads {
     /// A run has done its work.
-    pub(crate) fn note(&mut self, kind: TaskKind, room: &Room, ran: Duration) {
+    pub(crate) fn note(&mut self, kind: TaskKind, room: &Capacity, ran: Duration) {
         self.loads.values_mut().for_each(|load| *load *= FADING);
         self.runs = self.runs.saturating_add(1);
         if self.loads.len() == MAX_KINDS && !self.loads.contains_key(&kind) {
--- a/crates/mastknot_core/src/scheduler/learned.rs
+++ b/crates/mastknot_core/src/scheduler/learned.rs
@@ -3,7 +3,7 @@
 use super::SchedulerDecision;
 use super::job_scheduler::JobScheduler;
 use crate::job::LearnedProfile;
-use crate::profile::{ProfileOffer, profile_news};
+use crate::profile::{ProfileOffer, profile_update};
 use crate::types::{Moment, WallTime, stable_hash};
 
 impl JobScheduler {
@@ -18,7 +18,7 @@
         }
         LearnedProfile {
             written_ms: 0,
-            paces: self.class_paces.learned(),
+            slowdowns: self.class_paces.learned(),
             run_times: self.run_times.learned(),
             suspects,
         }
@@ -37,12 +37,12 @@
             written_ms: wall.as_millis(),
             ..self.learned()
         };
-        let news = profile_news(known, &profile, self.beliefs.has_ranked)?;
+        let news = profile_update(known, &profile, self.beliefs.has_ranked)?;
         let place = self.writer_place();
         Some(ProfileOffer {
             profile,
-            news,
-            place,
+            update: news,
+            writer_rank: place,
         })
     }
 
@@ -63,7 +63,7 @@
         self.counters.profiles_read += 1;
         self.decided(SchedulerDecision::ProfileRead {
             age_ms: profile.age(wall).as_millis() as u64,
-            paces: profile.paces.len(),
+            paces: profile.slowdowns.len(),
             run_times: profile.run_times.len(),
             suspects: profile.suspects.len(),
         });
@@ -91,10 +91,10 @@
         for times in &waiting.run_times {
             self.run_times.believe(times);
         }
-        for pace in &waiting.paces {
+        for pace in &waiting.slowdowns {
             self.class_paces.believe(pace);
         }
-        if !waiting.paces.is_empty() {
+        if !waiting.slowdowns.is_empty() {
             self.work_out_paces();
         }
     }
--- a/crates/mastknot_core/src/scheduler/load_view.rs
+++ b/crates/mastknot_core/src/scheduler/load_view.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use crate::job::{RankedWork, Room, SideLoad};
+use crate::job::{Capacity, RankedWork, SideLoad};
 use crate::types::{Hall, NodeName};
 
 /// What an entry knows of the load: admission, return times and operators' views read it.
@@ -20,11 +20,11 @@
     /// Its hall.
     pub hall: Hall,
     /// What its target has in all.
-    pub capacity: Room,
+    pub capacity: Capacity,
     /// How long work takes there against the middle of all targets: 2 for half as fast.
     pub pace: f64,
     /// The room that is believed to be free for this entry.
-    pub free: Room,
+    pub free: Capacity,
     /// What waits there.
     pub load: SideLoad,
     /// The age of what is known.
--- a/crates/mastknot_core/src/scheduler/observed_load.rs
+++ b/crates/mastknot_core/src/scheduler/observed_load.rs
@@ -7,7 +7,7 @@
 use super::job_scheduler::JobScheduler;
 use super::side_view::SideView;
 use super::{KnownLoad, LoadView, OrderKey};
-use crate::job::{RankedWork, Room, SideLoad};
+use crate::job::{Capacity, RankedWork, SideLoad};
 use crate::types::Moment;
 
 /// The most waiting jobs whose work is summed up: heartbeats do so some times a second.
@@ -35,7 +35,7 @@
             capacity: side
                 .target
                 .as_ref()
-                .map_or(Room::default(), |it| it.capacity),
+                .map_or(Capacity::default(), |it| it.capacity),
             pace: self.pace_at(side),
             free: side.free(),
             load: side_load(side, &untold),
@@ -73,7 +73,7 @@
         SideLoad {
             waiting: ranked(ranks),
             entries,
-            room_in_ms: 0,
+            free_capacity_in_ms: 0,
         }
     }
 
@@ -99,7 +99,7 @@
         rank,
         cpu_millis_ms,
     });
-    RankedWork::first_ranks(ranks.collect())
+    RankedWork::limit_ranks(ranks.collect())
 }
 
 /// Whether a side's target is one of a service.
--- a/crates/mastknot_core/src/scheduler/placing.rs
+++ b/crates/mastknot_core/src/scheduler/placing.rs
@@ -8,7 +8,8 @@
 use super::side_view::{SideTrial, SideView};
 use super::{OrderKey, Outlook, SchedulerDecision};
 use crate::job::{
-    EntryOrder, JobAnswer, JobId, Room, RunId, StartOrder, TargetCondition, WaitingNeed, trial_time,
+    Capacity, EntryOrder, JobAnswer, JobId, RunId, StartOrder, TargetCondition, WaitingNeed,
+    trial_time,
 };
 use crate::types::{Moment, NodeName};
 
@@ -115,20 +116,20 @@
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let mut whole = Room::default();
+            let mut whole = Capacity::default();
             for task in job.waiting() {
-                let room = job.step(task).room;
+                let room = job.step(task).required_capacity;
                 whole = whole.with(&room);
                 let so_far = need.get_or_insert(WaitingNeed {
                     rank,
-                    smallest: room,
+                    smallest_task: room,
                     ..WaitingNeed::default()
                 });
-                so_far.room = so_far.room.with(&room);
-                so_far.smallest = so_far.smallest.smaller_of(&room);
+                so_far.required_capacity = so_far.required_capacity.with(&room);
+                so_far.smallest_task = so_far.smallest_task.smaller_of(&room);
             }
             if let Some(need) = need.as_mut().filter(|_| self.is_granted_room()) {
-                need.note_job(whole, now.since(job.arrived));
+                need.record_job(whole, now.since(job.arrived));
             }
         }
         if let Some(need) = need.as_mut().filter(|_| self.is_granted_room()) {
@@ -258,7 +259,7 @@
         self.demand.had.note(work);
         self.demand
             .placed
-            .note(job.step(task).room.cpu_millis, work);
+            .note(job.step(task).required_capacity.cpu_millis, work);
         let Some(view) = self.sides.get_mut(side) else {
             return;
         };
@@ -267,7 +268,7 @@
         };
         let attempt = job.attempts.take();
         let spec = job.step(task);
-        let room = spec.room;
+        let room = spec.required_capacity;
         let estimate_ms = spec.estimate.as_millis() as u32;
         let run = RunId {
             task: job.tasks[task].name,
@@ -298,7 +299,7 @@
         let order = StartOrder {
             run,
             payload: Arc::clone(&job.request.payload),
-            room,
+            required_capacity: room,
             estimate_ms,
             kind,
             kind_crashed_after_ms: kind_crashed_after.map(|ran| ran.as_millis() as u32),
@@ -308,7 +309,7 @@
                 .filter(|_| may_wait_ms > 0)
                 .map_or(0, |key| key.rank()),
             may_wait_ms,
-            heard,
+            last_received: heard,
         };
         self.counters.starts += 1;
         self.send(session, EntryOrder::Start(order));
@@ -321,7 +322,7 @@
 }
 
 fn is_suitable(job: &ActiveJob, task: usize, side: &SideView) -> bool {
-    may_run(job, task, side) && side.free().holds(&job.step(task).room)
+    may_run(job, task, side) && side.free().covers(&job.step(task).required_capacity)
 }
 
 /// Whether a task may run at a side, whatever room there is.
@@ -365,8 +366,10 @@
     let spec = job.step(task);
     let capacity = side.target.as_ref().map(|target| target.capacity);
     let capacity = capacity.unwrap_or_default();
-    let used = capacity.without(&side.unused()).with(&spec.room);
-    let mut score = used.permille_of(&capacity);
+    let used = capacity
+        .without(&side.unused())
+        .with(&spec.required_capacity);
+    let mut score = used.max_permille_of(&capacity);
     score += side.distance;
     if job.tasks[task].avoided.contains(name) {
         score += AVOIDED_PENALTY;
--- a/crates/mastknot_core/src/scheduler/relaying.rs
+++ b/crates/mastknot_core/src/scheduler/relaying.rs
@@ -5,7 +5,7 @@
 
 use super::job_scheduler::JobScheduler;
 use super::{SchedulerEffect, SessionId};
-use crate::job::{ConfigDocument, DocumentPart, EntryNews, EntryOrder, KnownEntry};
+use crate::job::{ConfigDocument, DocumentPart, EntryOrder, EntryUpdate, KnownEntry};
 use crate::types::{Moment, NodeName, stable_hash};
 
 /// So many sides hold the configuration for entries that start, or are turned away, while the store is out
@@ -24,13 +24,13 @@
     }
 
     /// What sides are told of what is known here.
-    pub(super) fn news(&self) -> EntryNews {
-        EntryNews {
+    pub(super) fn news(&self) -> EntryUpdate {
+        EntryUpdate {
             config_version: self.document_version(),
             directory: self.directory,
             drained: Arc::clone(&self.drained),
-            grants_room: self.is_granted_room(),
-            shares_room: self.shares_room(),
+            grants_capacity: self.is_granted_room(),
+            shares_capacity: self.shares_room(),
             shares: Arc::clone(&self.weights),
         }
     }
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn take_part(&mut self, session: SessionId, part: DocumentPart) {
-        let whole = self.fetch.take_part(session, part);
+        let whole = self.fetch.receive_part(session, part);
         let known = self.document_version();
         if let Some(document) = whole.filter(|whole| whole.version > known) {
             self.effects.push(SchedulerEffect::Document(document));
--- a/crates/mastknot_core/src/scheduler/run_at_crash.rs
+++ b/crates/mastknot_core/src/scheduler/run_at_crash.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use crate::job::{CrashedRun, TargetCrash, TaskKind, ran_alike};
+use crate::job::{CrashedRun, TargetCrash, TaskKind, are_similar_run_times};
 use crate::types::Moment;
 
 /// A target that crashes so soon after a start may well have been crashed by it: runs of innocent tasks are seldom
@@ -48,7 +48,7 @@
 
     /// Whether both went on for about the same time.
     pub(crate) fn is_alike(&self, other: &Self) -> bool {
-        ran_alike(self.ran, other.ran)
+        are_similar_run_times(self.ran, other.ran)
     }
 
     /// Whether one of the two began after the other's target had crashed. Tasks that begin together have the same age when
--- a/crates/mastknot_core/src/scheduler/run_times.rs
+++ b/crates/mastknot_core/src/scheduler/run_times.rs
@@ -68,9 +68,9 @@
         }
         *times = QueueTimes {
             steps: learned.steps,
-            guess: learned.log_guess,
-            ran: learned.log_ran,
-            guess_variance: learned.guess_variance,
+            guess: learned.log_estimate,
+            ran: learned.log_run_time,
+            guess_variance: learned.estimate_variance,
             covariance: learned.covariance,
         };
     }
@@ -80,9 +80,9 @@
         let queues = self.queues.iter().map(|(queue, times)| LearnedRunTimes {
             queue: Arc::clone(queue),
             steps: times.steps,
-            log_guess: times.guess,
-            log_ran: times.ran,
-            guess_variance: times.guess_variance,
+            log_estimate: times.guess,
+            log_run_time: times.ran,
+            estimate_variance: times.guess_variance,
             covariance: times.covariance,
         });
         let mut queues: Vec<LearnedRunTimes> = queues.collect();
--- a/crates/mastknot_core/src/scheduler/side_links.rs
+++ b/crates/mastknot_core/src/scheduler/side_links.rs
@@ -7,7 +7,7 @@
 use super::side_view::{LinkDuty, SideView};
 use super::{SchedulerDecision, SchedulerEffect, SessionId};
 use crate::job::{
-    AdoptedRun, EndOfRun, EndedRun, EntryNews, EntryOrder, EntryWelcome, RunId, SideHello,
+    AdoptedRun, EndOfRun, EndedRun, EntryOrder, EntryUpdate, EntryWelcome, RunId, SideHello,
     SideReport, SideStatus,
 };
 use crate::types::{Moment, NodeName, pair_rank, stable_hash};
@@ -26,7 +26,7 @@
     at: Moment,
     hello: SideHello,
     /// What the welcome told.
-    news: EntryNews,
+    news: EntryUpdate,
 }
 
 impl JobScheduler {
@@ -78,7 +78,7 @@
             incarnation: self.settings.incarnation,
             hall: self.settings.hall.clone(),
             remembered_target: view.and_then(|view| view.target.clone()),
-            news: news.clone(),
+            update: news.clone(),
         };
         let at = now;
         self.greetings.insert(session, Greeting { at, hello, news });
@@ -112,7 +112,7 @@
         }
         self.sessions.insert(session, hello.side);
         self.sides_due = Some(now);
-        self.fetch.note_offer(session, hello.config_version);
+        self.fetch.record_offer(session, hello.config_version);
         self.is_holder_choice_stale = true;
         self.reassign_parts();
     }
@@ -184,7 +184,7 @@
         let spec = job.request.steps.get(usize::from(run.task.step))?;
         Some(AdoptedRun {
             run,
-            room: spec.room,
+            required_capacity: spec.required_capacity,
             estimate_ms: spec.estimate.as_millis() as u32,
             kind: job.kinds[usize::from(run.task.step)],
         })
@@ -208,7 +208,7 @@
         status: SideStatus,
     ) {
         if let Some(version) = status.config_version {
-            self.fetch.note_offer(session, version);
+            self.fetch.record_offer(session, version);
         }
         if let Some(drained) = &status.drained {
             self.learn_drained_halls(now, drained);
@@ -236,9 +236,9 @@
                 // Confirmed before any start is ordered there: the side's lease counts from its report.
                 let heard = view.heard_number;
                 let confirmed = EntryOrder::Heartbeat {
-                    heard,
+                    last_received: heard,
                     need: None,
-                    news: None,
+                    update: None,
                 };
                 self.send(session, confirmed);
             }
@@ -363,7 +363,14 @@
         let waiting = self.waiting_need(now);
         for (session, heard, news) in beats {
             let need = waiting.clone();
-            self.send(session, EntryOrder::Heartbeat { heard, need, news });
+            self.send(
+                session,
+                EntryOrder::Heartbeat {
+                    last_received: heard,
+                    need,
+                    update: news,
+                },
+            );
         }
     }
 
--- a/crates/mastknot_core/src/scheduler/side_view.rs
+++ b/crates/mastknot_core/src/scheduler/side_view.rs
@@ -7,7 +7,7 @@
 use super::SessionId;
 use super::held_grants::HeldGrant;
 use crate::job::{
-    EntryNews, JobId, LeaseTerms, Room, RunId, SideLoad, SideStatus, TargetCondition,
+    Capacity, EntryUpdate, JobId, LeaseTerms, RunId, SideLoad, SideStatus, TargetCondition,
     TargetProfile, TaskKind,
 };
 use crate::types::{Hall, Incarnation, Moment};
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnseenStart {
     number: u64,
-    room: Room,
+    room: Capacity,
 }
 
 /// Whether the link to a side is used for starts.
@@ -70,7 +70,7 @@
     /// Whether it is one of the sides that hold the configuration for others.
     pub(crate) holds_documents: bool,
     /// What it was last told that it may ask for.
-    pub(crate) told_news: Option<EntryNews>,
+    pub(crate) told_news: Option<EntryUpdate>,
     /// It is to hear at once from this entry.
     pub(crate) owes_heartbeat: bool,
     pub(crate) target: Option<TargetProfile>,
@@ -83,7 +83,7 @@
     /// When this entry last ordered a start there.
     pub(crate) last_start: Moment,
     /// What that takes.
-    pub(crate) last_room: Room,
+    pub(crate) last_room: Capacity,
     /// The runs ordered here that are not known to be over.
     pub(crate) runs: IndexMap<RunId, JobId>,
     /// What is granted to this entry alone.
@@ -92,9 +92,9 @@
     pub(crate) owes_rest: bool,
     /// What waits there, and when that was told.
     pub(crate) load: Option<(SideLoad, Moment)>,
-    free: Room,
+    free: Capacity,
     /// What is free there besides, and not this entry's to start.
-    hidden: Room,
+    hidden: Capacity,
     starts: u64,
     unseen: VecDeque<UnseenStart>,
 }
@@ -129,13 +129,13 @@
             kept_for: None,
             trial: None,
             last_start: Moment::default(),
-            last_room: Room::default(),
+            last_room: Capacity::default(),
             runs: IndexMap::new(),
             grant: None,
             owes_rest: false,
             load: None,
-            free: Room::default(),
-            hidden: Room::default(),
+            free: Capacity::default(),
+            hidden: Capacity::default(),
             starts: 0,
             unseen: VecDeque::new(),
         }
@@ -153,8 +153,8 @@
         self.beat_sent = Moment::default();
         self.told_news = None;
         self.condition = TargetCondition::Absent;
-        self.free = Room::default();
-        self.hidden = Room::default();
+        self.free = Capacity::default();
+        self.hidden = Capacity::default();
         self.grant = None;
         self.owes_rest = false;
         self.load = None;
@@ -165,7 +165,7 @@
     pub(crate) fn take_status(&mut self, now: Moment, status: &SideStatus) {
         self.heard_number = self.heard_number.max(status.number);
         self.free = status.free;
-        self.hidden = status.hidden;
+        self.hidden = status.withheld;
         self.grant = status
             .grant
             .map(|grant| HeldGrant::new(now, &grant, status.is_offer));
@@ -175,7 +175,7 @@
         }
         self.condition = status.condition;
         self.is_cold = status.is_cold;
-        self.pace_percent = status.pace_percent;
+        self.pace_percent = status.slowdown_percent;
         if let Some(target) = &status.target {
             self.target = Some(target.clone());
         }
@@ -225,7 +225,7 @@
     }
 
     /// Notes a start: the report that includes it will say what is left.
-    pub(crate) fn note_start(&mut self, now: Moment, run: RunId, job: JobId, room: Room) {
+    pub(crate) fn note_start(&mut self, now: Moment, run: RunId, job: JobId, room: Capacity) {
         self.last_start = now;
         self.last_room = room;
         self.starts += 1;
@@ -235,13 +235,13 @@
     }
 
     /// The room that is believed to be free.
-    pub(crate) fn free(&self) -> Room {
+    pub(crate) fn free(&self) -> Capacity {
         let unseen = self.unseen.iter();
         unseen.fold(self.free, |free, start| free.without(&start.room))
     }
 
     /// The room that no run is believed to take, whoever may start there.
-    pub(crate) fn unused(&self) -> Room {
+    pub(crate) fn unused(&self) -> Capacity {
         self.free().with(&self.hidden)
     }
 
@@ -257,12 +257,12 @@
     pub(crate) fn has_unused_grant(&self) -> bool {
         let is_needed = self.grant.is_some_and(|grant| grant.is_needed);
         let rest = self.free();
-        is_needed && rest.cpu_millis > 0 && rest.holds(&self.last_room)
+        is_needed && rest.cpu_millis > 0 && rest.covers(&self.last_room)
     }
 
     /// Whether any room is believed to be free.
     pub(crate) fn has_room(&self) -> bool {
-        self.free() != Room::default()
+        self.free() != Capacity::default()
     }
 
     /// Whether work may be given to it now.
@@ -279,7 +279,7 @@
     }
 
     /// What it has not been told yet of what this entry has; it counts as told.
-    pub(crate) fn tell_news(&mut self, news: &EntryNews) -> Option<EntryNews> {
+    pub(crate) fn tell_news(&mut self, news: &EntryUpdate) -> Option<EntryUpdate> {
         let news = news.for_side(self.holds_documents);
         if self.told_news.as_ref() == Some(&news) {
             return None;
--- a/crates/mastknot_core/src/scheduler/suspects.rs
+++ b/crates/mastknot_core/src/scheduler/suspects.rs
@@ -9,7 +9,9 @@
 use super::job_scheduler::JobScheduler;
 use super::run_at_crash::SOON;
 use super::side_view::SideView;
-use crate::job::{FailureCause, JobAnswer, JobId, TargetCrash, TaskRef, ran_alike, trial_time};
+use crate::job::{
+    FailureCause, JobAnswer, JobId, TargetCrash, TaskRef, are_similar_run_times, trial_time,
+};
 use crate::types::{Moment, NodeName};
 
 impl JobScheduler {
@@ -77,7 +79,9 @@
         let mut others = side.runs.keys();
         others.any(|run| {
             let other = self.crashes.suspect_ran(&run.task);
-            other.is_some_and(|other| is_on_trial(now, side, other) && ran_alike(ran, other))
+            other.is_some_and(|other| {
+                is_on_trial(now, side, other) && are_similar_run_times(ran, other)
+            })
         })
     }
 
@@ -96,7 +100,7 @@
             TaskState::Ordered { side, .. } => {
                 let view = self.sides.get(side);
                 let like = self.crashes.suspect_ran(&other.name);
-                let like = like.filter(|like| ran_alike(ran, *like));
+                let like = like.filter(|like| are_similar_run_times(ran, *like));
                 view.zip(like)
                     .is_some_and(|(view, like)| is_on_trial(now, view, like))
             }
--- a/crates/mastknot_core/src/scheduler/whole_starts.rs
+++ b/crates/mastknot_core/src/scheduler/whole_starts.rs
@@ -8,7 +8,7 @@
 use super::job_scheduler::JobScheduler;
 use super::placing::{Candidate, may_run};
 use super::side_view::SideView;
-use crate::job::{JobId, Room};
+use crate::job::{Capacity, JobId};
 use crate::types::Moment;
 
 /// A job that can wait for less begins with what there is: room for all at once may not come in its time.
@@ -60,7 +60,7 @@
         &self,
         now: Moment,
         job: &ActiveJob,
-        sides: impl Iterator<Item = (&'a SideView, Room, bool)>,
+        sides: impl Iterator<Item = (&'a SideView, Capacity, bool)>,
     ) -> bool {
         let mut left = job.waiting().len();
         let Some(task) = job.waiting().first().copied() else {
@@ -77,7 +77,7 @@
             }
             let is_open = may_run(job, task, side) && self.is_in_part(now, job, task, side);
             let most = if is_tried { 1 } else { most };
-            let places = (room.count_of(&step.room) as usize).min(most);
+            let places = (room.count_of(&step.required_capacity) as usize).min(most);
             left = left.saturating_sub(if is_open { places } else { 0 });
         }
         left == 0
--- a/crates/mastknot_core/src/side/side_core.rs
+++ b/crates/mastknot_core/src/side/side_core.rs
@@ -352,7 +352,7 @@
             outcome,
             run_micros: now.since(running.since).as_micros() as u32,
             next,
-            resting: self.free_slots() as u16,
+            idle_slots: self.free_slots() as u16,
         };
         effects.push(SideEffect::Send {
             entry: running.entry,
@@ -386,7 +386,10 @@
         for entry in self.entries.keys() {
             let entry = entry.clone();
             let credits = Vec::new();
-            let message = SideMessage::Grant { credits, resting };
+            let message = SideMessage::Grant {
+                credits,
+                idle_slots: resting,
+            };
             effects.push(SideEffect::Send { entry, message });
         }
     }
@@ -436,7 +439,10 @@
         }
         for (entry, credits) in granted {
             let resting = self.free_slots() as u16;
-            let message = SideMessage::Grant { credits, resting };
+            let message = SideMessage::Grant {
+                credits,
+                idle_slots: resting,
+            };
             effects.push(SideEffect::Send { entry, message });
         }
     }
--- a/crates/mastknot_core/src/types/mod.rs
+++ b/crates/mastknot_core/src/types/mod.rs
@@ -13,7 +13,7 @@
 pub use incarnation::Incarnation;
 pub use moment::Moment;
 pub use node_name::NodeName;
-pub use stable_hash::{mixed, pair_rank, stable_hash, stable_hash_of};
+pub use stable_hash::{mix_bits, pair_rank, stable_hash, stable_hash_of};
 pub use submission_key::{KeyError, SubmissionKey};
 pub use task_id::TaskId;
 pub use wall_time::WallTime;
--- a/crates/mastknot_core/src/types/stable_hash.rs
+++ b/crates/mastknot_core/src/types/stable_hash.rs
@@ -17,7 +17,7 @@
 }
 
 /// Spreads a number over all bits, the same in every process (the finalizer of SplitMix64).
-pub fn mixed(number: u64) -> u64 {
+pub fn mix_bits(number: u64) -> u64 {
     const FIRST_FACTOR: u64 = 0xbf58_476d_1ce4_e5b9;
     const SECOND_FACTOR: u64 = 0x94d0_49bb_1331_11eb;
     let number = (number ^ (number >> 30)).wrapping_mul(FIRST_FACTOR);
--- a/crates/mastknot_core/tests/agent.rs
+++ b/crates/mastknot_core/tests/agent.rs
@@ -53,9 +53,9 @@
     let mut side = Side::ready();
     side.order(1_001, ENTRY, start(1, 1_000));
     let heartbeat = EntryOrder::Heartbeat {
-        heard: 0,
+        last_received: 0,
         need: None,
-        news: None,
+        update: None,
     };
     side.order(1_300, ENTRY, heartbeat);
     let effects = side.step(1_352, AgentEvent::Tick);
--- a/crates/mastknot_core/tests/changing_room.rs
+++ b/crates/mastknot_core/tests/changing_room.rs
@@ -5,14 +5,14 @@
 use common::side::*;
 use mastknot_core::agent::{AgentEffect, AgentEvent, AgentSettings, TargetAgent, TargetReport};
 use mastknot_core::job::{
-    EndOfRun, EntryOrder, NotRunCause, Room, SideReport, TargetProfile, WaitingNeed,
+    Capacity, EndOfRun, EntryOrder, NotRunCause, SideReport, TargetProfile, WaitingNeed,
 };
 use mastknot_core::types::Incarnation;
 
 const NO_ROOM: EndOfRun = EndOfRun::NotRun(NotRunCause::NoRoom);
 
-fn room(cpu_millis: u32, memory_mb: u32, accelerators: u32) -> Room {
-    Room {
+fn room(cpu_millis: u32, memory_mb: u32, accelerators: u32) -> Capacity {
+    Capacity {
         cpu_millis,
         memory_mb,
         accelerators,
@@ -20,7 +20,7 @@
 }
 
 /// The known life says that it has this room now.
-fn resized(number: u64, capacity: Room) -> TargetReport {
+fn resized(number: u64, capacity: Capacity) -> TargetReport {
     let report = report("target-1", number);
     TargetReport {
         profile: TargetProfile {
@@ -31,13 +31,13 @@
     }
 }
 
-fn resize(side: &mut Side, ms: u64, capacity: Room) -> Vec<AgentEffect> {
+fn resize(side: &mut Side, ms: u64, capacity: Capacity) -> Vec<AgentEffect> {
     let report = resized(ms, capacity);
     side.step(ms, AgentEvent::TargetReported(report))
 }
 
 /// The profiles that an entry was told of.
-fn told(effects: &[AgentEffect]) -> Vec<Room> {
+fn told(effects: &[AgentEffect]) -> Vec<Capacity> {
     let told = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Send {
             report: SideReport::Status(status),
@@ -48,7 +48,7 @@
     told.collect()
 }
 
-fn remembered(effects: &[AgentEffect]) -> Vec<Room> {
+fn remembered(effects: &[AgentEffect]) -> Vec<Capacity> {
     let known = effects.iter().filter_map(|effect| match effect {
         AgentEffect::TargetKnown(profile) => Some(profile.capacity),
         _ => None,
@@ -86,14 +86,14 @@
     let smallest = cpu(500);
     let need = WaitingNeed {
         rank: 0,
-        room: cpu(4_000),
-        smallest,
+        required_capacity: cpu(4_000),
+        smallest_task: smallest,
         ..WaitingNeed::default()
     };
     let waits = EntryOrder::Heartbeat {
-        heard: 0,
+        last_received: 0,
         need: Some(need),
-        news: None,
+        update: None,
     };
     side.order(1_001, ENTRY, waits);
     resize(&mut side, 1_005, room(1_000, 4_096, 0));
--- a/crates/mastknot_core/tests/claims_after_a_start.rs
+++ b/crates/mastknot_core/tests/claims_after_a_start.rs
@@ -49,9 +49,9 @@
 /// An entry has received all reports until now.
 fn confirm(side: &mut Side, ms: u64, session: SessionId) -> Vec<AgentEffect> {
     let heartbeat = EntryOrder::Heartbeat {
-        heard: u64::MAX,
+        last_received: u64::MAX,
         need: None,
-        news: None,
+        update: None,
     };
     side.order(ms, session, heartbeat)
 }
--- a/crates/mastknot_core/tests/common/entry.rs
+++ b/crates/mastknot_core/tests/common/entry.rs
@@ -4,8 +4,9 @@
 use std::time::Duration;
 
 use mastknot_core::job::{
-    DrainedHalls, EndOfRun, EndedRun, EntryOrder, JobAnswer, JobId, JobRequest, QueuePolicy, Room,
-    RunId, SideHello, SideReport, SideStatus, StepSpec, TargetCondition, TargetId, TargetProfile,
+    Capacity, DrainedHalls, EndOfRun, EndedRun, EntryOrder, JobAnswer, JobId, JobRequest,
+    QueuePolicy, RunId, SideHello, SideReport, SideStatus, StepSpec, TargetCondition, TargetId,
+    TargetProfile,
 };
 use mastknot_core::scheduler::{
     CallerId, JobScheduler, ScarcitySettings, SchedulerEffect, SchedulerEvent, SchedulerSettings,
@@ -18,8 +19,8 @@
 }
 
 /// What a target has.
-pub fn target_room(cpu_millis: u32) -> Room {
-    Room {
+pub fn target_room(cpu_millis: u32) -> Capacity {
+    Capacity {
         cpu_millis,
         memory_mb: 4_096,
         accelerators: 0,
@@ -27,8 +28,8 @@
 }
 
 /// What a task takes.
-pub fn room(cpu_millis: u32) -> Room {
-    Room {
+pub fn room(cpu_millis: u32) -> Capacity {
+    Capacity {
         cpu_millis,
         memory_mb: 64,
         accelerators: 0,
@@ -146,7 +147,7 @@
     /// has seen all starts.
     pub fn paced_status(&mut self, ms: u64, side: u64, pace_percent: u32, ended: Vec<EndedRun>) {
         let status = SideStatus {
-            pace_percent,
+            slowdown_percent: pace_percent,
             starts_included: u64::MAX,
             ended,
             ..self.next_status(16_000)
@@ -161,7 +162,7 @@
             number: self.number,
             free: target_room(cpu_millis),
             condition: TargetCondition::Ready,
-            pace_percent: 100,
+            slowdown_percent: 100,
             ..SideStatus::default()
         }
     }
@@ -257,7 +258,7 @@
         payload: Arc::from("text"),
         steps: vec![StepSpec {
             count: tasks,
-            room: room(1_600),
+            required_capacity: room(1_600),
             estimate: Duration::from_millis(millis),
             ..StepSpec::default()
         }],
--- a/crates/mastknot_core/tests/common/side.rs
+++ b/crates/mastknot_core/tests/common/side.rs
@@ -8,8 +8,8 @@
     TargetView,
 };
 use mastknot_core::job::{
-    EndOfRun, EntryNews, EntryOrder, EntryWelcome, JobId, Room, RunId, SideReport, StartOrder,
-    TargetId, TargetProfile, TaskKind, TaskRef,
+    Capacity, EndOfRun, EntryOrder, EntryUpdate, EntryWelcome, JobId, RunId, SideReport,
+    StartOrder, TargetId, TargetProfile, TaskKind, TaskRef,
 };
 use mastknot_core::types::{Incarnation, Moment};
 
@@ -20,8 +20,8 @@
     Moment::from_millis(ms)
 }
 
-pub fn cpu(cpu_millis: u32) -> Room {
-    Room {
+pub fn cpu(cpu_millis: u32) -> Capacity {
+    Capacity {
         cpu_millis,
         memory_mb: 64,
         accelerators: 0,
@@ -41,7 +41,7 @@
     TargetProfile {
         id: TargetId::named("target-1"),
         service: Arc::from("service"),
-        capacity: Room {
+        capacity: Capacity {
             cpu_millis: 4_000,
             memory_mb: 4_096,
             accelerators: 0,
@@ -69,7 +69,7 @@
         incarnation: Incarnation(incarnation),
         hall: "hall".into(),
         remembered_target: None,
-        news: EntryNews::default(),
+        update: EntryUpdate::default(),
     })
 }
 
@@ -77,14 +77,14 @@
     EntryOrder::Start(StartOrder {
         run: run(job),
         payload: Arc::from("text"),
-        room: cpu(cpu_millis),
+        required_capacity: cpu(cpu_millis),
         estimate_ms: 100,
         kind: TaskKind::default(),
         kind_crashed_after_ms: None,
         crashed_after_ms: None,
         rank: 0,
         may_wait_ms: 0,
-        heard: 0,
+        last_received: 0,
     })
 }
 
--- a/crates/mastknot_core/tests/confirmed_links.rs
+++ b/crates/mastknot_core/tests/confirmed_links.rs
@@ -26,7 +26,10 @@
         _ => None,
     });
     let heard = sent.filter_map(|order| match order {
-        EntryOrder::Heartbeat { heard, .. } => Some(*heard),
+        EntryOrder::Heartbeat {
+            last_received: heard,
+            ..
+        } => Some(*heard),
         _ => None,
     });
     heard.collect()
--- a/crates/mastknot_core/tests/crash_evidence.rs
+++ b/crates/mastknot_core/tests/crash_evidence.rs
@@ -250,8 +250,8 @@
         let suspect = LearnedSuspect {
             kind: bad,
             crashed_after_ms: 12,
-            part_per_mille: 125,
-            crashed: vec![format!("side-{own}").as_str().into()],
+            share_per_mille: 125,
+            crashed_sides: vec![format!("side-{own}").as_str().into()],
         };
         let profile = LearnedProfile {
             written_ms: WRITTEN,
@@ -313,7 +313,11 @@
     let (mut told, bad, now) = released();
     told.crash(now + 10, 5, &[of_kind(ran(10, 0, 12), bad)]);
     let suspects = told.entry.scheduler.learned().suspects;
-    let crashed: Vec<&str> = suspects[0].crashed.iter().map(NodeName::as_str).collect();
+    let crashed: Vec<&str> = suspects[0]
+        .crashed_sides
+        .iter()
+        .map(NodeName::as_str)
+        .collect();
     assert_eq!(crashed, ["side-0", "side-1", "side-2", "side-5"]);
 }
 
@@ -362,7 +366,7 @@
     told.entry.join(4_990, 3, 16_000);
     told.crash(5_000, 3, &[of_kind(ran(6, 0, 12), bad)]);
     let suspects = told.entry.scheduler.learned().suspects;
-    let crashed = suspects[0].crashed.iter().map(NodeName::as_str);
+    let crashed = suspects[0].crashed_sides.iter().map(NodeName::as_str);
     let crashed: Vec<&str> = crashed.collect();
     assert_eq!(crashed, ["side-0", "side-1", "side-2", "side-3"]);
     told.entry.join(50 + RELEASED_AFTER_MS, 0, 16_000);
--- a/crates/mastknot_core/tests/crash_suspects.rs
+++ b/crates/mastknot_core/tests/crash_suspects.rs
@@ -147,14 +147,14 @@
     EntryOrder::Start(StartOrder {
         run: side::run(job),
         payload: Arc::from("text"),
-        room: side::cpu(1_000),
+        required_capacity: side::cpu(1_000),
         estimate_ms: 100,
         kind: TaskKind::default(),
         kind_crashed_after_ms: None,
         crashed_after_ms: Some(crashed_after_ms),
         rank: 0,
         may_wait_ms: 0,
-        heard: 0,
+        last_received: 0,
     })
 }
 
--- a/crates/mastknot_core/tests/drained_halls.rs
+++ b/crates/mastknot_core/tests/drained_halls.rs
@@ -8,8 +8,8 @@
 use common::side::{self, ENTRY, OTHER, Side};
 use mastknot_core::agent::{AgentEffect, AgentEvent};
 use mastknot_core::job::{
-    DrainedHalls, EndOfRun, EntryNews, EntryOrder, JobAnswer, NotRunCause, SideReport, SideStatus,
-    TargetCondition,
+    DrainedHalls, EndOfRun, EntryOrder, EntryUpdate, JobAnswer, NotRunCause, SideReport,
+    SideStatus, TargetCondition,
 };
 use mastknot_core::scheduler::{SchedulerEffect, SchedulerEvent, SessionId};
 
@@ -27,11 +27,11 @@
 /// A heartbeat that tells which halls are drained.
 fn telling(revision: u64, halls: &[&str]) -> EntryOrder {
     EntryOrder::Heartbeat {
-        heard: 0,
+        last_received: 0,
         need: None,
-        news: Some(EntryNews {
+        update: Some(EntryUpdate {
             drained: Arc::new(drained(revision, halls)),
-            ..EntryNews::default()
+            ..EntryUpdate::default()
         }),
     }
 }
@@ -112,14 +112,14 @@
 fn room_kept_for_an_entry_is_not_to_be_had_any_more() {
     let mut side = Side::ready();
     let need = EntryOrder::Heartbeat {
-        heard: 0,
+        last_received: 0,
         need: Some(mastknot_core::job::WaitingNeed {
             rank: 0,
-            room: side::cpu(4_000),
-            smallest: side::cpu(1_000),
+            required_capacity: side::cpu(4_000),
+            smallest_task: side::cpu(1_000),
             ..mastknot_core::job::WaitingNeed::default()
         }),
-        news: None,
+        update: None,
     };
     side.order(1_010, ENTRY, need);
     side.join(1_012, OTHER, "entry-2", 1);
@@ -209,7 +209,7 @@
         SchedulerEffect::Send {
             session,
             order: EntryOrder::Heartbeat {
-                news: Some(news), ..
+                update: Some(news), ..
             },
         } => Some((*session, news.drained.revision)),
         _ => None,
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use common::entry::{Entry, answers, at, job, starts};
-use mastknot_core::job::{JobAnswer, JobId, JobRequest, QueuePolicy, RankedWork, Room, SideLoad};
+use mastknot_core::job::{
+    Capacity, JobAnswer, JobId, JobRequest, QueuePolicy, RankedWork, SideLoad,
+};
 use mastknot_core::scheduler::{
     Admission, AdmissionInput, CallerId, Forecast, ForecastInput, KnownLoad, LONGEST_RETURN,
     LOOKED_AT_EACH, LoadView, ReturnTimes, SHORTEST_RETURN, ScarcitySettings, SchedulerEffect,
@@ -16,7 +18,7 @@
 
 /// The rank of a job in time of which nothing has begun, in the queue of the highest priority.
 const NEW: u8 = 16;
-const TASK: Room = Room {
+const TASK: Capacity = Capacity {
     cpu_millis: 1_600,
     memory_mb: 64,
     accelerators: 0,
@@ -44,7 +46,7 @@
         load: SideLoad {
             waiting,
             entries: 2,
-            room_in_ms: 0,
+            free_capacity_in_ms: 0,
         },
         age: ms(1),
     }
--- a/crates/mastknot_core/tests/hard_load_interfaces.rs
+++ b/crates/mastknot_core/tests/hard_load_interfaces.rs
@@ -7,8 +7,8 @@
 use bincode::{Decode, Encode};
 use common::side::cpu;
 use mastknot_core::job::{
-    EntryNews, LearnedPace, LearnedProfile, RankedWork, RoomGrant, ShareWeights, SideLoad,
-    SideStatus, WaitingNeed,
+    CapacityGrant, EntryUpdate, LearnedProfile, LearnedSlowdown, RankedWork, ShareWeights,
+    SideLoad, SideStatus, WaitingNeed,
 };
 use mastknot_core::scheduler::{KnownLoad, LoadView, ScarcitySettings};
 
@@ -31,9 +31,9 @@
 fn a_need_is_told_by_rank() {
     let need = WaitingNeed {
         rank: 1,
-        room: cpu(12_800),
-        smallest: cpu(1_600),
-        widest: cpu(12_800),
+        required_capacity: cpu(12_800),
+        smallest_task: cpu(1_600),
+        widest_job: cpu(12_800),
         waited_ms: 7,
         by_rank: vec![work(1), work(18)],
     };
@@ -42,15 +42,15 @@
 
 #[test]
 fn a_report_carries_a_grant_and_what_waits() {
-    let grant = RoomGrant {
-        room: cpu(3_200),
+    let grant = CapacityGrant {
+        capacity: cpu(3_200),
         ahead: cpu(1_600),
         valid_ms: 30,
     };
     let load = SideLoad {
         waiting: vec![work(16)],
         entries: 4,
-        room_in_ms: 3,
+        free_capacity_in_ms: 3,
     };
     let status = SideStatus {
         grant: Some(grant),
@@ -66,10 +66,10 @@
         revision: 3,
         halls: [("hall-1".into(), 200)].into(),
     };
-    let news = EntryNews {
-        grants_room: true,
+    let news = EntryUpdate {
+        grants_capacity: true,
         shares: Arc::new(shares),
-        ..EntryNews::default()
+        ..EntryUpdate::default()
     };
     assert_eq!(over_link(&news), news);
     assert_eq!(news.shares.of_hall(&"hall-1".into()), 200);
@@ -115,14 +115,14 @@
         own: vec![work(16)],
     };
     assert_eq!(view.sides[0].load.waiting, []);
-    let pace = LearnedPace {
+    let pace = LearnedSlowdown {
         queue: Arc::from("queue"),
         class: Arc::from("fast"),
         runs: 64,
         log_ratio: -0.2,
     };
     let profile = LearnedProfile {
-        paces: vec![pace],
+        slowdowns: vec![pace],
         ..LearnedProfile::default()
     };
     assert_eq!(profile.run_times, []);
--- a/crates/mastknot_core/tests/held_grants.rs
+++ b/crates/mastknot_core/tests/held_grants.rs
@@ -7,7 +7,8 @@
 
 use common::entry::*;
 use mastknot_core::job::{
-    EntryOrder, QueuePolicy, RankedWork, RoomGrant, SideLoad, SideReport, SideStatus, WaitingNeed,
+    CapacityGrant, EntryOrder, QueuePolicy, RankedWork, SideLoad, SideReport, SideStatus,
+    WaitingNeed,
 };
 use mastknot_core::scheduler::{CallerId, SchedulerEffect, SchedulerEvent};
 use mastknot_core::types::WallTime;
@@ -60,10 +61,10 @@
 }
 
 fn grant(entry: &mut Entry, cpu_millis: u32, valid_ms: u32, is_offer: bool) -> SideReport {
-    let grant = RoomGrant {
-        room: target_room(cpu_millis),
+    let grant = CapacityGrant {
+        capacity: target_room(cpu_millis),
         valid_ms,
-        ..RoomGrant::default()
+        ..CapacityGrant::default()
     };
     SideReport::Status(SideStatus {
         grant: Some(grant),
@@ -80,7 +81,7 @@
     let told = needs(&effects);
     assert!(!told.is_empty(), "{effects:?}");
     assert_eq!(told[0].by_rank.len(), 1);
-    assert_eq!(told[0].widest, told[0].room);
+    assert_eq!(told[0].widest_job, told[0].required_capacity);
     let effects = submit(&mut entry, 101, 2, 1, 1);
     let told = needs(&effects);
     assert!(!told.is_empty(), "more urgent work is news");
@@ -125,7 +126,7 @@
     let load = SideLoad {
         waiting,
         entries: 2,
-        room_in_ms: 12,
+        free_capacity_in_ms: 12,
     };
     let status = SideStatus {
         load: Some(load.clone()),
--- a/crates/mastknot_core/tests/job_claims.rs
+++ b/crates/mastknot_core/tests/job_claims.rs
@@ -66,9 +66,9 @@
     let mut granted = Vec::new();
     for ms in (from..until).step_by(10) {
         let heartbeat = EntryOrder::Heartbeat {
-            heard: u64::MAX,
+            last_received: u64::MAX,
             need: None,
-            news: None,
+            update: None,
         };
         for session in sessions {
             let effects = side.order(ms, *session, heartbeat.clone());
--- a/crates/mastknot_core/tests/learned_profile.rs
+++ b/crates/mastknot_core/tests/learned_profile.rs
@@ -7,7 +7,7 @@
 
 use common::entry::*;
 use mastknot_core::job::{
-    EndOfRun, EndedRun, JobId, LearnedPace, LearnedProfile, LearnedRunTimes, LearnedSuspect,
+    EndOfRun, EndedRun, JobId, LearnedProfile, LearnedRunTimes, LearnedSlowdown, LearnedSuspect,
     MAX_PROFILE_BYTES, ProfileError, QueuePolicy, TargetProfile, TaskKind,
 };
 use mastknot_core::scheduler::{
@@ -21,8 +21,8 @@
 const WRITTEN: u64 = 1_700_000_000_000;
 const HOUR_MS: u64 = 60 * 60 * 1_000;
 
-fn pace(queue: &str, class: &str, runs: u32, log_ratio: f64) -> LearnedPace {
-    LearnedPace {
+fn pace(queue: &str, class: &str, runs: u32, log_ratio: f64) -> LearnedSlowdown {
+    LearnedSlowdown {
         queue: Arc::from(queue),
         class: Arc::from(class),
         runs,
@@ -34,9 +34,9 @@
     LearnedRunTimes {
         queue: Arc::from(queue),
         steps,
-        log_guess: -1.0,
-        log_ran: -0.5,
-        guess_variance: 0.2,
+        log_estimate: -1.0,
+        log_run_time: -0.5,
+        estimate_variance: 0.2,
         covariance: 0.1,
     }
 }
@@ -45,15 +45,15 @@
     LearnedSuspect {
         kind: TaskKind::new(queue, None),
         crashed_after_ms: 12,
-        part_per_mille: 250,
-        crashed: vec!["side-3".into(), "side-1".into()],
+        share_per_mille: 250,
+        crashed_sides: vec!["side-3".into(), "side-1".into()],
     }
 }
 
 fn profile() -> LearnedProfile {
     LearnedProfile {
         written_ms: WRITTEN,
-        paces: vec![
+        slowdowns: vec![
             pace("queue", "fast", 400, -0.4),
             pace("queue", "slow", 90, 0.4),
         ],
@@ -121,10 +121,10 @@
         let Ok(read) = LearnedProfile::decode(&bytes) else {
             continue;
         };
-        let mut paces = read.paces.iter();
+        let mut paces = read.slowdowns.iter();
         assert!(paces.all(|pace| pace.log_ratio.abs() <= 50.0));
         let mut suspects = read.suspects.iter();
-        assert!(suspects.all(|suspect| (1..=1_000).contains(&suspect.part_per_mille)));
+        assert!(suspects.all(|suspect| (1..=1_000).contains(&suspect.share_per_mille)));
     }
 }
 
@@ -145,36 +145,36 @@
     let kinds = (0..4_000).map(|number| suspect(&format!("{number}")));
     let written = LearnedProfile {
         written_ms: WRITTEN,
-        paces: paces.collect(),
+        slowdowns: paces.collect(),
         run_times: queues.collect(),
         suspects: kinds.collect(),
     };
     let bytes = bytes_of(&written);
     assert!(bytes.len() <= MAX_PROFILE_BYTES);
     let read = LearnedProfile::decode(&bytes).expect("it can be read");
-    assert!(!read.paces.is_empty() && !read.run_times.is_empty() && !read.suspects.is_empty());
-    assert_eq!(read.paces[0].runs, 3_999);
+    assert!(!read.slowdowns.is_empty() && !read.run_times.is_empty() && !read.suspects.is_empty());
+    assert_eq!(read.slowdowns[0].runs, 3_999);
     assert_eq!(read.run_times[0].steps, 3_999);
 }
 
 #[test]
 fn what_is_no_figure_is_not_written() {
     let written = LearnedProfile {
-        paces: vec![
+        slowdowns: vec![
             pace("queue", "fast", 40, f64::NAN),
             pace("queue", "slow", 40, 0.1),
         ],
         ..LearnedProfile::default()
     };
     let read = LearnedProfile::decode(&bytes_of(&written)).expect("it can be read");
-    assert_eq!(read.paces, [pace("queue", "slow", 40, 0.1)]);
+    assert_eq!(read.slowdowns, [pace("queue", "slow", 40, 0.1)]);
 }
 
 #[test]
 fn a_belief_counts_as_few_runs_and_less_the_older_it_is() {
     let runs_after = |ms: u64| {
         let aged = profile().aged(WallTime::from_millis(WRITTEN + ms));
-        aged.paces.first().map(|pace| pace.runs)
+        aged.slowdowns.first().map(|pace| pace.runs)
     };
     assert_eq!(runs_after(0), Some(32));
     assert_eq!(runs_after(23 * HOUR_MS), Some(32));
@@ -183,7 +183,7 @@
     assert_eq!(runs_after(24 * 365 * HOUR_MS), None);
     // The reader's clock is behind the writer's.
     let ahead = profile().aged(WallTime::from_millis(WRITTEN - HOUR_MS));
-    assert_eq!(ahead.paces[0].runs, 32);
+    assert_eq!(ahead.slowdowns[0].runs, 32);
 }
 
 #[test]
@@ -296,7 +296,7 @@
     let mut untold = told.clone();
     read(&mut told, 5, paces_only(), 1_000);
     assert_eq!(on_fast(&mut told, false), on_fast(&mut untold, false));
-    assert_eq!(told.scheduler.learned().paces.len(), 2);
+    assert_eq!(told.scheduler.learned().slowdowns.len(), 2);
     let wall = WallTime::from_millis(WRITTEN + 2 * HOUR_MS);
     let offer = told.scheduler.profile_offer(Some(&paces_only()), wall);
     assert_eq!(offer, None, "nothing of it is its own");
@@ -335,7 +335,7 @@
     read(&mut entry, 5, paces_only(), 1_000);
     let ratio = |entry: &Entry| {
         let times = &entry.scheduler.learned().run_times[0];
-        times.log_ran - times.log_guess
+        times.log_run_time - times.log_estimate
     };
     run(&mut entry, 10, 1, 400);
     let first = ratio(&entry);
--- a/crates/mastknot_core/tests/profile_writing.rs
+++ b/crates/mastknot_core/tests/profile_writing.rs
@@ -3,10 +3,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mastknot_core::job::{LearnedPace, LearnedProfile, LearnedRunTimes, LearnedSuspect, TaskKind};
+use mastknot_core::job::{
+    LearnedProfile, LearnedRunTimes, LearnedSlowdown, LearnedSuspect, TaskKind,
+};
 use mastknot_core::profile::{
-    ProfileCall, ProfileLedger, ProfileNews, ProfileOffer, ProfileRead, ProfileTurn, ProfileWrite,
-    profile_news,
+    ProfileCall, ProfileLedger, ProfileOffer, ProfileRead, ProfileUpdate, ProfileWrite,
+    ProfileWriteSchedule, profile_update,
 };
 use mastknot_core::types::Moment;
 
@@ -16,8 +18,8 @@
     Moment::from_millis(seconds * 1_000)
 }
 
-fn pace(class: &str, runs: u32, log_ratio: f64) -> LearnedPace {
-    LearnedPace {
+fn pace(class: &str, runs: u32, log_ratio: f64) -> LearnedSlowdown {
+    LearnedSlowdown {
         queue: Arc::from("queue"),
         class: Arc::from(class),
         runs,
@@ -29,9 +31,9 @@
     LearnedRunTimes {
         queue: Arc::from("queue"),
         steps: 64,
-        log_guess: 0.0,
-        log_ran,
-        guess_variance: 0.1,
+        log_estimate: 0.0,
+        log_run_time: log_ran,
+        estimate_variance: 0.1,
         covariance: 0.1,
     }
 }
@@ -40,46 +42,52 @@
     LearnedSuspect {
         kind: TaskKind(number),
         crashed_after_ms: 10,
-        part_per_mille: 200,
-        crashed: Vec::new(),
+        share_per_mille: 200,
+        crashed_sides: Vec::new(),
     }
 }
 
 fn written() -> LearnedProfile {
     LearnedProfile {
         written_ms: WRITTEN,
-        paces: vec![pace("fast", 64, -0.3)],
+        slowdowns: vec![pace("fast", 64, -0.3)],
         run_times: vec![times(0.2)],
         suspects: vec![suspect(1)],
     }
 }
 
 /// What is new after a change of what was written.
-fn news_of(change: impl Fn(&mut LearnedProfile)) -> Option<ProfileNews> {
+fn news_of(change: impl Fn(&mut LearnedProfile)) -> Option<ProfileUpdate> {
     let mut own = written();
     change(&mut own);
-    profile_news(Some(&written()), &own, true)
+    profile_update(Some(&written()), &own, true)
 }
 
 #[test]
 fn small_changes_are_not_worth_a_write() {
     assert_eq!(news_of(|_| {}), None);
-    assert_eq!(news_of(|own| own.paces[0].log_ratio -= 0.2), None);
-    assert_eq!(news_of(|own| own.paces[0].runs = 9_000), None);
-    assert_eq!(news_of(|own| own.run_times[0].log_ran += 0.2), None);
-    assert_eq!(news_of(|own| own.paces.clear()), None);
-    assert_eq!(news_of(|own| own.paces.push(pace("new", 15, 1.0))), None);
+    assert_eq!(news_of(|own| own.slowdowns[0].log_ratio -= 0.2), None);
+    assert_eq!(news_of(|own| own.slowdowns[0].runs = 9_000), None);
+    assert_eq!(news_of(|own| own.run_times[0].log_run_time += 0.2), None);
+    assert_eq!(news_of(|own| own.slowdowns.clear()), None);
+    assert_eq!(
+        news_of(|own| own.slowdowns.push(pace("new", 15, 1.0))),
+        None
+    );
 }
 
 #[test]
 fn changes_that_matter_are_worth_a_write() {
-    let paces = Some(ProfileNews::Pace);
-    assert_eq!(news_of(|own| own.paces[0].log_ratio -= 0.25), paces);
-    assert_eq!(news_of(|own| own.run_times[0].log_ran += 0.25), paces);
-    assert_eq!(news_of(|own| own.paces.push(pace("new", 16, 0.0))), paces);
+    let paces = Some(ProfileUpdate::Slowdown);
+    assert_eq!(news_of(|own| own.slowdowns[0].log_ratio -= 0.25), paces);
+    assert_eq!(news_of(|own| own.run_times[0].log_run_time += 0.25), paces);
+    assert_eq!(
+        news_of(|own| own.slowdowns.push(pace("new", 16, 0.0))),
+        paces
+    );
     let hour = 60 * 60 * 1_000;
     assert_eq!(news_of(|own| own.written_ms += hour), paces);
-    let suspects = Some(ProfileNews::Suspect);
+    let suspects = Some(ProfileUpdate::Suspect);
     assert_eq!(news_of(|own| own.suspects.push(suspect(2))), suspects);
     assert_eq!(news_of(|own| own.suspects.clear()), suspects);
 }
@@ -90,14 +98,22 @@
         suspects: Vec::new(),
         ..written()
     };
-    assert_eq!(profile_news(None, &own, false), None);
-    assert_eq!(profile_news(None, &own, true), Some(ProfileNews::Pace));
-    let news = profile_news(None, &written(), false);
-    assert_eq!(news, Some(ProfileNews::Suspect));
+    assert_eq!(profile_update(None, &own, false), None);
+    assert_eq!(
+        profile_update(None, &own, true),
+        Some(ProfileUpdate::Slowdown)
+    );
+    let news = profile_update(None, &written(), false);
+    assert_eq!(news, Some(ProfileUpdate::Suspect));
 }
 
 /// When an entry that sees this news each second writes for the first time.
-fn first_write(mut turn: ProfileTurn, from: u64, news: ProfileNews, place: usize) -> u64 {
+fn first_write(
+    mut turn: ProfileWriteSchedule,
+    from: u64,
+    news: ProfileUpdate,
+    place: usize,
+) -> u64 {
     let mut seconds = from..10_000;
     let due = seconds.find(|second| turn.is_due(at(*second), Some(news), place, None));
     due.expect("it writes at last") - from
@@ -105,37 +121,37 @@
 
 #[test]
 fn the_first_writes_a_suspect_at_once_and_the_next_when_it_does_not() {
-    let turn = ProfileTurn::default();
-    assert_eq!(first_write(turn, 5, ProfileNews::Suspect, 0), 0);
-    assert_eq!(first_write(turn, 5, ProfileNews::Suspect, 1), 30);
-    assert_eq!(first_write(turn, 5, ProfileNews::Suspect, 2), 60);
+    let turn = ProfileWriteSchedule::default();
+    assert_eq!(first_write(turn, 5, ProfileUpdate::Suspect, 0), 0);
+    assert_eq!(first_write(turn, 5, ProfileUpdate::Suspect, 1), 30);
+    assert_eq!(first_write(turn, 5, ProfileUpdate::Suspect, 2), 60);
 }
 
 #[test]
 fn paces_stand_for_a_while_before_they_are_written() {
-    let turn = ProfileTurn::default();
-    assert_eq!(first_write(turn, 5, ProfileNews::Pace, 0), 15);
-    assert_eq!(first_write(turn, 5, ProfileNews::Pace, 1), 315);
+    let turn = ProfileWriteSchedule::default();
+    assert_eq!(first_write(turn, 5, ProfileUpdate::Slowdown, 0), 15);
+    assert_eq!(first_write(turn, 5, ProfileUpdate::Slowdown, 1), 315);
 }
 
 #[test]
 fn writes_keep_their_distance() {
-    let mut turn = ProfileTurn::default();
-    turn.note_change(at(100));
-    assert_eq!(first_write(turn, 101, ProfileNews::Suspect, 0), 9);
-    assert_eq!(first_write(turn, 101, ProfileNews::Pace, 0), 59);
+    let mut turn = ProfileWriteSchedule::default();
+    turn.record_change(at(100));
+    assert_eq!(first_write(turn, 101, ProfileUpdate::Suspect, 0), 9);
+    assert_eq!(first_write(turn, 101, ProfileUpdate::Slowdown, 0), 59);
     // An earlier process wrote it: only its age tells.
-    let mut turn = ProfileTurn::default();
-    let news = Some(ProfileNews::Suspect);
+    let mut turn = ProfileWriteSchedule::default();
+    let news = Some(ProfileUpdate::Suspect);
     assert!(!turn.is_due(at(1), news, 0, Some(Duration::from_secs(9))));
     assert!(turn.is_due(at(2), news, 0, Some(Duration::from_secs(10))));
 }
 
 #[test]
 fn a_suspect_that_is_found_while_paces_stand_does_not_wait_for_them() {
-    let mut turn = ProfileTurn::default();
-    assert!(!turn.is_due(at(1), Some(ProfileNews::Pace), 0, None));
-    assert!(turn.is_due(at(2), Some(ProfileNews::Suspect), 0, None));
+    let mut turn = ProfileWriteSchedule::default();
+    assert!(!turn.is_due(at(1), Some(ProfileUpdate::Slowdown), 0, None));
+    assert!(turn.is_due(at(2), Some(ProfileUpdate::Suspect), 0, None));
 }
 
 fn offer(second: u64, number: u32) -> Option<ProfileOffer> {
@@ -146,8 +162,8 @@
     };
     Some(ProfileOffer {
         profile,
-        news: ProfileNews::Suspect,
-        place: 0,
+        update: ProfileUpdate::Suspect,
+        writer_rank: 0,
     })
 }
 
@@ -168,7 +184,10 @@
 fn empty() -> ProfileLedger {
     let mut ledger = ProfileLedger::default();
     assert_eq!(next(&mut ledger, 0, 1), Some(ProfileCall::Read));
-    assert!(matches!(ledger.note_read(at(0), None), ProfileRead::Absent));
+    assert!(matches!(
+        ledger.record_read(at(0), None),
+        ProfileRead::Absent
+    ));
     ledger
 }
 
@@ -176,7 +195,7 @@
 fn nothing_is_written_before_the_document_was_read() {
     let mut ledger = ProfileLedger::default();
     assert_eq!(next(&mut ledger, 0, 1), Some(ProfileCall::Read));
-    ledger.note_read_failed(at(0));
+    ledger.record_read_failure(at(0));
     assert_eq!(next(&mut ledger, 0, 1), None);
     assert_eq!(next(&mut ledger, 1, 1), Some(ProfileCall::Read));
 }
@@ -188,7 +207,7 @@
     for second in 0..3_600 {
         if next(&mut ledger, second, 1).is_some() {
             calls += 1;
-            ledger.note_read_failed(at(second));
+            ledger.record_read_failure(at(second));
         }
     }
     assert!((50..70).contains(&calls), "{calls}");
@@ -199,7 +218,7 @@
     let mut ledger = empty();
     let (_, expected) = value(next(&mut ledger, 1, 1));
     assert_eq!(expected, 0);
-    ledger.note_write(at(1), ProfileWrite::Done { revision: 7 });
+    ledger.record_write(at(1), ProfileWrite::Done { revision: 7 });
     assert_eq!(next(&mut ledger, 5, 2), None);
     let (_, expected) = value(next(&mut ledger, 11, 2));
     assert_eq!(expected, 7);
@@ -209,9 +228,9 @@
 fn a_lost_answer_is_read_back() {
     let mut ledger = empty();
     let (sent, _) = value(next(&mut ledger, 1, 1));
-    ledger.note_write(at(1), ProfileWrite::Unanswered);
+    ledger.record_write(at(1), ProfileWrite::Unanswered);
     assert_eq!(next(&mut ledger, 2, 1), Some(ProfileCall::Read));
-    let read = ledger.note_read(at(2), Some((7, &sent)));
+    let read = ledger.record_read(at(2), Some((7, &sent)));
     assert!(matches!(read, ProfileRead::Known), "{read:?}");
     assert_eq!(
         ledger.known().map(|known| known.suspects[0].clone()),
@@ -223,9 +242,12 @@
 fn a_write_that_was_lost_is_made_again() {
     let mut ledger = empty();
     let (sent, _) = value(next(&mut ledger, 1, 1));
-    ledger.note_write(at(1), ProfileWrite::Unanswered);
+    ledger.record_write(at(1), ProfileWrite::Unanswered);
     assert_eq!(next(&mut ledger, 2, 1), Some(ProfileCall::Read));
-    assert!(matches!(ledger.note_read(at(2), None), ProfileRead::Absent));
+    assert!(matches!(
+        ledger.record_read(at(2), None),
+        ProfileRead::Absent
+    ));
     let (again, expected) = value(next(&mut ledger, 3, 1));
     assert_eq!((again.len(), expected), (sent.len(), 0));
 }
@@ -234,11 +256,11 @@
 fn whoever_comes_second_takes_what_the_first_has_written() {
     let mut ledger = empty();
     value(next(&mut ledger, 1, 1));
-    ledger.note_write(at(1), ProfileWrite::Changed);
+    ledger.record_write(at(1), ProfileWrite::Changed);
     assert_eq!(next(&mut ledger, 2, 1), Some(ProfileCall::Read));
     let other = written().encode().expect("bytes");
-    match ledger.note_read(at(2), Some((9, &other))) {
-        ProfileRead::News(profile) => assert_eq!(*profile, written()),
+    match ledger.record_read(at(2), Some((9, &other))) {
+        ProfileRead::Update(profile) => assert_eq!(*profile, written()),
         other => panic!("{other:?}"),
     }
 }
@@ -247,7 +269,7 @@
 fn what_cannot_be_read_is_told_once_and_written_over_under_its_revision() {
     let mut ledger = ProfileLedger::default();
     assert_eq!(next(&mut ledger, 0, 1), Some(ProfileCall::Read));
-    let read = ledger.note_read(at(0), Some((4, b"rubbish that nobody knows")));
+    let read = ledger.record_read(at(0), Some((4, b"rubbish that nobody knows")));
     assert!(matches!(read, ProfileRead::NotTaken(_)), "{read:?}");
     assert_eq!(value(next(&mut ledger, 1, 1)).1, 4);
 }
@@ -261,7 +283,7 @@
         ..written()
     };
     let bytes = ahead.encode().expect("bytes");
-    let read = ledger.note_read(at(0), Some((4, &bytes)));
-    assert!(matches!(read, ProfileRead::News(_)), "{read:?}");
+    let read = ledger.record_read(at(0), Some((4, &bytes)));
+    assert!(matches!(read, ProfileRead::Update(_)), "{read:?}");
     assert_eq!(value(next(&mut ledger, 1, 2)).1, 4);
 }
--- a/crates/mastknot_core/tests/relay.rs
+++ b/crates/mastknot_core/tests/relay.rs
@@ -40,7 +40,7 @@
     let newest = document(3, 10_500);
     let mut server = DocumentServer::default();
     let mut fetch = DocumentFetch::new(0);
-    fetch.note_offer(1_u8, 3);
+    fetch.record_offer(1_u8, 3);
     let mut now = at(1_000);
     let mut parts = 0;
     let whole = loop {
@@ -48,7 +48,7 @@
         let part = serve(&mut server, now, 9, request, &newest);
         assert_eq!(part.bytes.len().min(1_000), part.bytes.len());
         parts += 1;
-        if let Some(whole) = fetch.take_part(source, part) {
+        if let Some(whole) = fetch.receive_part(source, part) {
             break whole;
         }
         now = now + Duration::from_millis(8);
@@ -106,16 +106,16 @@
     let (older, newer) = (document(1, 2_500), document(2, 2_500));
     let mut server = DocumentServer::default();
     let mut fetch = DocumentFetch::new(0);
-    fetch.note_offer(1_u8, 1);
+    fetch.record_offer(1_u8, 1);
     let (_, request) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
     assert_eq!(
-        fetch.take_part(1, serve(&mut server, at(0), 9, request, &older)),
+        fetch.receive_part(1, serve(&mut server, at(0), 9, request, &older)),
         None
     );
     for step in 1..3 {
         let now = at(step * 10);
         let (_, request) = fetch.poll(now, 0, NO_PATIENCE, THIN).expect("a request");
-        let whole = fetch.take_part(1, serve(&mut server, now, 9, request, &newer));
+        let whole = fetch.receive_part(1, serve(&mut server, now, 9, request, &newer));
         assert_eq!(whole, (step == 2).then(|| older.clone()));
     }
 }
@@ -125,10 +125,10 @@
     let newer = document(5, 800);
     let mut server = DocumentServer::default();
     let mut fetch = DocumentFetch::new(0);
-    fetch.note_offer(1_u8, 4);
+    fetch.record_offer(1_u8, 4);
     let (_, request) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
     assert_eq!(request.version, 4);
-    let whole = fetch.take_part(1, serve(&mut server, at(0), 9, request, &newer));
+    let whole = fetch.receive_part(1, serve(&mut server, at(0), 9, request, &newer));
     assert_eq!(whole, Some(newer));
 }
 
@@ -137,10 +137,10 @@
     let newest = document(3, 2_500);
     let mut server = DocumentServer::default();
     let mut fetch = DocumentFetch::new(0);
-    fetch.note_offer(1_u8, 3);
-    fetch.note_offer(2_u8, 3);
+    fetch.record_offer(1_u8, 3);
+    fetch.record_offer(2_u8, 3);
     let (first, request) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
-    fetch.take_part(first, serve(&mut server, at(0), 9, request, &newest));
+    fetch.receive_part(first, serve(&mut server, at(0), 9, request, &newest));
     let (same, _) = fetch.poll(at(5), 0, NO_PATIENCE, THIN).expect("a request");
     assert_eq!(same, first);
     assert_eq!(
@@ -158,8 +158,8 @@
 #[test]
 fn a_source_that_is_gone_is_left_at_once() {
     let mut fetch = DocumentFetch::new(0);
-    fetch.note_offer(1_u8, 3);
-    fetch.note_offer(2_u8, 3);
+    fetch.record_offer(1_u8, 3);
+    fetch.record_offer(2_u8, 3);
     let (first, _) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
     fetch.forget(first);
     let (other, _) = fetch.poll(at(1), 0, NO_PATIENCE, THIN).expect("a request");
@@ -170,7 +170,7 @@
 fn others_are_asked_only_when_the_store_has_had_its_time() {
     let mut fetch = DocumentFetch::new(0);
     let patience = Duration::from_millis(500);
-    fetch.note_offer(1_u8, 3);
+    fetch.record_offer(1_u8, 3);
     assert_eq!(fetch.poll(at(100), 2, patience, THIN), None);
     assert_eq!(fetch.next_tick(patience), Some(at(600)));
     assert_eq!(
@@ -184,7 +184,7 @@
 #[test]
 fn a_document_that_is_too_long_is_not_taken() {
     let mut fetch = DocumentFetch::new(0);
-    fetch.note_offer(1_u8, 3);
+    fetch.record_offer(1_u8, 3);
     fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
     let part = DocumentPart {
         version: 3,
@@ -192,7 +192,7 @@
         total: u32::MAX,
         bytes: vec![0; 512].into(),
     };
-    assert_eq!(fetch.take_part(1, part), None);
+    assert_eq!(fetch.receive_part(1, part), None);
     assert_eq!(
         fetch.poll(at(10), 0, NO_PATIENCE, THIN),
         None,
--- a/crates/mastknot_core/tests/room_grants.rs
+++ b/crates/mastknot_core/tests/room_grants.rs
@@ -8,17 +8,17 @@
 };
 use mastknot_core::agent::{HowEnded, TargetRunning, TargetView};
 use mastknot_core::job::{
-    EndOfRun, EntryNews, EntryOrder, NotRunCause, RoomGrant, RunId, SideReport, SideStatus,
+    CapacityGrant, EndOfRun, EntryOrder, EntryUpdate, NotRunCause, RunId, SideReport, SideStatus,
     StartOrder, WaitingNeed,
 };
 
 /// No grant outlives this: what it is told to be good for, and the ways there and back.
 const BACK_WITHIN_MS: u64 = 100;
 
-fn ranked_news() -> EntryNews {
-    EntryNews {
-        grants_room: true,
-        ..EntryNews::default()
+fn ranked_news() -> EntryUpdate {
+    EntryUpdate {
+        grants_capacity: true,
+        ..EntryUpdate::default()
     }
 }
 
@@ -26,14 +26,14 @@
 fn heartbeat(heard: u64, rank: u8, waiting_millis: u32) -> EntryOrder {
     let need = WaitingNeed {
         rank,
-        room: cpu(waiting_millis),
-        smallest: cpu(1_000),
+        required_capacity: cpu(waiting_millis),
+        smallest_task: cpu(1_000),
         ..WaitingNeed::default()
     };
     EntryOrder::Heartbeat {
-        heard,
+        last_received: heard,
         need: (waiting_millis > 0).then_some(need),
-        news: Some(ranked_news()),
+        update: Some(ranked_news()),
     }
 }
 
@@ -61,7 +61,7 @@
     statuses.collect()
 }
 
-fn granted(effects: &[AgentEffect], session: SessionId) -> Option<RoomGrant> {
+fn granted(effects: &[AgentEffect], session: SessionId) -> Option<CapacityGrant> {
     told(effects, session)
         .iter()
         .rev()
@@ -103,7 +103,7 @@
     let both: u32 = grants
         .iter()
         .flatten()
-        .map(|grant| grant.room.cpu_millis)
+        .map(|grant| grant.capacity.cpu_millis)
         .sum();
     assert_eq!(both, 2_000, "{grants:?}");
     assert_eq!(grants.iter().flatten().count(), 1, "{grants:?}");
@@ -161,7 +161,7 @@
     side.order(1_030, ENTRY, heartbeat(2, 0, 2_000));
     let effects = side.step(1_025 + BACK_WITHIN_MS, AgentEvent::Tick);
     let grant = granted(&effects, ENTRY).expect("the room goes to the entry that is heard");
-    assert_eq!(grant.room.cpu_millis, 2_000);
+    assert_eq!(grant.capacity.cpu_millis, 2_000);
 }
 
 #[test]
@@ -225,7 +225,10 @@
     side.order(1_100, OTHER, heartbeat(1, 0, 4_000));
     let effects = side.step(1_104, AgentEvent::Tick);
     let grant = granted(&effects, OTHER).expect("a grant");
-    assert_eq!(grant.room.cpu_millis, 2_000, "only what is about to end");
+    assert_eq!(
+        grant.capacity.cpu_millis, 2_000,
+        "only what is about to end"
+    );
     assert_eq!(grant.ahead.cpu_millis, 2_000);
     let early = side.order(1_105, OTHER, patient(7, 0, 2_000, 20));
     assert_eq!(ordered(&early), []);
--- a/crates/mastknot_core/tests/room_offers.rs
+++ b/crates/mastknot_core/tests/room_offers.rs
@@ -12,15 +12,15 @@
 fn heartbeat(heard: u64, waiting_millis: u32) -> EntryOrder {
     let need = WaitingNeed {
         rank: 0,
-        room: cpu(waiting_millis),
-        smallest: cpu(1_000),
+        required_capacity: cpu(waiting_millis),
+        smallest_task: cpu(1_000),
         ..WaitingNeed::default()
     };
     let need = (waiting_millis > 0).then_some(need);
     EntryOrder::Heartbeat {
-        heard,
+        last_received: heard,
         need,
-        news: None,
+        update: None,
     }
 }
 
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -13,7 +13,7 @@
     OrderRefusal, SessionId as Link, TargetFinished, TargetRunning, TargetView,
 };
 use mastknot_core::job::{
-    EntryNews, EntryOrder, QueuePolicy, RunId, ShareWeights, SideHello, SideReport, WaitingNeed,
+    EntryOrder, EntryUpdate, QueuePolicy, RunId, ShareWeights, SideHello, SideReport, WaitingNeed,
 };
 use mastknot_core::scheduler::{
     CallerId, JobScheduler, SchedulerEffect, SchedulerEvent, SchedulerSettings, SessionId,
@@ -110,7 +110,7 @@
 #[test]
 fn the_lightest_and_the_heaviest_weight_count_whole() {
     let asking = [asks("a", 1.0), asks("b", 1.0)];
-    let weights = weights(1, &[("a", 1), ("b", ShareWeights::MOST)]);
+    let weights = weights(1, &[("a", 1), ("b", ShareWeights::MAX)]);
     let got = give_out(&asking, &weights, Lent::Charged);
     assert_near(&got, &[0.0, 1.0]);
     assert!(got[0] > 0.0, "nobody is left out whole: {got:?}");
@@ -246,24 +246,28 @@
 }
 
 /// What an entry tells of shares.
-fn telling(shares_room: bool, weights: ShareWeights) -> EntryNews {
-    EntryNews {
-        shares_room,
+fn telling(shares_room: bool, weights: ShareWeights) -> EntryUpdate {
+    EntryUpdate {
+        shares_capacity: shares_room,
         shares: Arc::new(weights),
-        ..EntryNews::default()
+        ..EntryUpdate::default()
     }
 }
 
 /// Tasks of two cores wait at an entry.
-fn heartbeat(heard: u64, rank: u8, news: Option<EntryNews>) -> EntryOrder {
+fn heartbeat(heard: u64, rank: u8, news: Option<EntryUpdate>) -> EntryOrder {
     let need = WaitingNeed {
         rank,
-        room: cpu(40_000),
-        smallest: cpu(2_000),
+        required_capacity: cpu(40_000),
+        smallest_task: cpu(2_000),
         ..WaitingNeed::default()
     };
     let need = Some(need);
-    EntryOrder::Heartbeat { heard, need, news }
+    EntryOrder::Heartbeat {
+        last_received: heard,
+        need,
+        update: news,
+    }
 }
 
 fn join_in(side: &mut Side, ms: u64, session: Link, entry: &str, hall: &str) {
@@ -304,7 +308,7 @@
 }
 
 impl Crowd {
-    fn new(news: &EntryNews) -> Self {
+    fn new(news: &EntryUpdate) -> Self {
         let mut crowd = Self::empty(news);
         for _ in 0..2 {
             crowd.start(ENTRY);
@@ -316,7 +320,7 @@
     }
 
     /// The same with nothing that runs or waits.
-    fn empty(news: &EntryNews) -> Self {
+    fn empty(news: &EntryUpdate) -> Self {
         let mut side = Side::ready();
         join_in(&mut side, 1_000, OTHER, "entry-2", "far");
         join_in(&mut side, 1_000, THIRD, "entry-3", "far");
@@ -332,9 +336,9 @@
         for link in LINKS {
             let news = Some(news.clone());
             let heartbeat = EntryOrder::Heartbeat {
-                heard: 0,
+                last_received: 0,
                 need: None,
-                news,
+                update: news,
             };
             crowd.order(link, heartbeat);
         }
@@ -356,7 +360,7 @@
         self.running.push(run);
     }
 
-    fn tell(&mut self, link: Link, rank: u8, news: Option<EntryNews>) {
+    fn tell(&mut self, link: Link, rank: u8, news: Option<EntryUpdate>) {
         let heard = self.heard.get(&link).copied().unwrap_or_default();
         self.order(link, heartbeat(heard, rank, news));
     }
@@ -554,11 +558,11 @@
 }
 
 /// The news of the newest welcome or heartbeat.
-fn told(effects: &[SchedulerEffect]) -> Option<EntryNews> {
+fn told(effects: &[SchedulerEffect]) -> Option<EntryUpdate> {
     let mut news = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send { order, .. } => match order {
-            EntryOrder::Welcome(welcome) => Some(welcome.news.clone()),
-            EntryOrder::Heartbeat { news, .. } => news.clone(),
+            EntryOrder::Welcome(welcome) => Some(welcome.update.clone()),
+            EntryOrder::Heartbeat { update: news, .. } => news.clone(),
             _ => None,
         },
         _ => None,
@@ -593,7 +597,7 @@
     JobScheduler::new(settings)
 }
 
-fn greet(scheduler: &mut JobScheduler, ms: u64) -> EntryNews {
+fn greet(scheduler: &mut JobScheduler, ms: u64) -> EntryUpdate {
     let hello = SideHello {
         side: "side-0".into(),
         incarnation: Incarnation(1),
@@ -613,11 +617,17 @@
 fn halls_share_where_queues_are_ranked_and_it_is_switched_on() {
     for (is_ranked, is_on) in [(true, true), (true, false), (false, true)] {
         let mut scheduler = scheduler(is_on);
-        assert!(!greet(&mut scheduler, 1).shares_room, "no job has come yet");
+        assert!(
+            !greet(&mut scheduler, 1).shares_capacity,
+            "no job has come yet"
+        );
         submit(&mut scheduler, 10, is_ranked);
-        assert_eq!(greet(&mut scheduler, 20).shares_room, is_ranked && is_on);
+        assert_eq!(
+            greet(&mut scheduler, 20).shares_capacity,
+            is_ranked && is_on
+        );
         let much_later = greet(&mut scheduler, 120_000);
-        assert!(!much_later.shares_room, "no ranked job for two minutes");
+        assert!(!much_later.shares_capacity, "no ranked job for two minutes");
     }
 }
 
--- a/crates/mastknot_core/tests/side_learning.rs
+++ b/crates/mastknot_core/tests/side_learning.rs
@@ -6,7 +6,7 @@
 use common::side::*;
 use mastknot_core::agent::{AgentEffect, AgentEvent, DialOrder, SessionId};
 use mastknot_core::job::{
-    ConfigDocument, DocumentPart, EndOfRun, EntryNews, EntryOrder, KnownEntry, LeaseTerms,
+    ConfigDocument, DocumentPart, EndOfRun, EntryOrder, EntryUpdate, KnownEntry, LeaseTerms,
     NotRunCause, SideReport, directory_digest,
 };
 
@@ -23,11 +23,11 @@
 /// A heartbeat that tells which list the entry has.
 fn telling(list: &[KnownEntry]) -> EntryOrder {
     EntryOrder::Heartbeat {
-        heard: 0,
+        last_received: 0,
         need: None,
-        news: Some(EntryNews {
+        update: Some(EntryUpdate {
             directory: directory_digest(list),
-            ..EntryNews::default()
+            ..EntryUpdate::default()
         }),
     }
 }
@@ -92,14 +92,14 @@
 fn an_entry_on_standby_hears_at_once_of_a_version() {
     let mut side = side_with_three_entries();
     side.order(1_010, OTHER, EntryOrder::Standby);
-    let news = EntryNews {
+    let news = EntryUpdate {
         config_version: 7,
-        ..EntryNews::default()
+        ..EntryUpdate::default()
     };
     let offer = EntryOrder::Heartbeat {
-        heard: 1,
+        last_received: 1,
         need: None,
-        news: Some(news),
+        update: Some(news),
     };
     side.order(1_020, ENTRY, offer);
     side.step(1_230, AgentEvent::Tick);
@@ -183,9 +183,9 @@
     assert!(ended, "the entry learns that it has not run");
 
     let confirm = EntryOrder::Heartbeat {
-        heard: report.number,
+        last_received: report.number,
         need: None,
-        news: None,
+        update: None,
     };
     side.order(1_803, ENTRY, confirm);
     let effects = side.order(1_804, ENTRY, start(2, 1_000));
--- a/crates/mastknot_core/tests/target_pace.rs
+++ b/crates/mastknot_core/tests/target_pace.rs
@@ -14,7 +14,7 @@
         AgentEffect::Send {
             report: SideReport::Status(status),
             ..
-        } => Some(status.pace_percent),
+        } => Some(status.slowdown_percent),
         _ => None,
     });
     paces.next_back()
--- a/crates/mastknot_core/tests/target_rebirths.rs
+++ b/crates/mastknot_core/tests/target_rebirths.rs
@@ -16,7 +16,7 @@
 
 fn reported(born_ms: u64, number: u64) -> AgentEvent {
     let mut report = report("target", number);
-    report.profile.id = TargetId::born("target", born_ms);
+    report.profile.id = TargetId::started_at("target", born_ms);
     AgentEvent::TargetReported(report)
 }
 
@@ -82,7 +82,7 @@
     let effects = answer(&mut side, 1_011, &effects, view(SECOND, 20, &[]));
     assert_eq!(ends(&effects), [EndOfRun::Crashed]);
     let target = side.agent.target().expect("a target is known");
-    assert_eq!(target.id, TargetId::born("target", SECOND));
+    assert_eq!(target.id, TargetId::started_at("target", SECOND));
 }
 
 /// The first report did not say when its life began, and the looks do. Taken for one of another life, each later report
@@ -95,7 +95,7 @@
     answer(&mut side, 3, &effects, view(FIRST, OLD_CLOCK_MS, &[]));
     side.step(4, reported(0, 1));
     let mut shrunk = report("target", 2);
-    shrunk.profile.id = TargetId::born("target", FIRST);
+    shrunk.profile.id = TargetId::started_at("target", FIRST);
     shrunk.profile.capacity.cpu_millis = 1_000;
     side.step(200, AgentEvent::TargetReported(shrunk.clone()));
     assert_eq!(side.agent.target(), Some(&shrunk.profile));
@@ -252,7 +252,7 @@
             assert_eq!(ends(&effects), [], "{born_ms}, {number}");
         }
         let target = side.agent.target().expect("a target is known");
-        assert_eq!(target.id.born_ms, SECOND);
+        assert_eq!(target.id.started_at_ms, SECOND);
         assert_eq!(side.agent.runs().len(), 1);
     }
 }
@@ -267,10 +267,10 @@
     answer(&mut side, 1_013, &effects, view(SECOND + 40, 7, &[]));
     side.step(1_020, reported(SECOND + 40, 1));
     let target = side.agent.target().expect("a target is known");
-    assert_eq!(target.id.born_ms, SECOND + 40);
+    assert_eq!(target.id.started_at_ms, SECOND + 40);
     side.step(1_030, reported(SECOND, 2));
     let target = side.agent.target().expect("a target is known");
-    assert_eq!(target.id.born_ms, SECOND + 40);
+    assert_eq!(target.id.started_at_ms, SECOND + 40);
 }
 
 /// A word of leaving that is held up until the next life is there does not end that.
@@ -280,11 +280,14 @@
     let effects = side.step(1_010, reported(SECOND, 1));
     let effects = answer(&mut side, 1_011, &effects, view(SECOND, 20, &[]));
     answer(&mut side, 1_012, &effects, view(SECOND, 21, &[]));
-    for target in [TargetId::born("target", FIRST), TargetId::named("target")] {
+    for target in [
+        TargetId::started_at("target", FIRST),
+        TargetId::named("target"),
+    ] {
         side.step(1_013, AgentEvent::TargetLeft { target });
         assert!(side.agent.target().is_some());
     }
-    let target = TargetId::born("target", SECOND);
+    let target = TargetId::started_at("target", SECOND);
     side.step(1_014, AgentEvent::TargetLeft { target });
     assert!(side.agent.target().is_none());
 }
@@ -297,10 +300,10 @@
     let effects = answer(&mut side, 1, &effects, view(SECOND, 20, &[]));
     answer(&mut side, 2, &effects, view(SECOND, 21, &[]));
     let mut remembered = profile();
-    remembered.id = TargetId::born("target", FIRST);
+    remembered.id = TargetId::started_at("target", FIRST);
     side.step(3, AgentEvent::TargetRemembered(remembered.clone()));
     assert!(side.agent.target().is_none());
-    remembered.id = TargetId::born("target", SECOND);
+    remembered.id = TargetId::started_at("target", SECOND);
     side.step(4, AgentEvent::TargetRemembered(remembered));
     assert!(side.agent.target().is_some());
 }
--- a/crates/mastknot_core/tests/unequal_targets.rs
+++ b/crates/mastknot_core/tests/unequal_targets.rs
@@ -6,7 +6,7 @@
 
 use common::entry::*;
 use mastknot_core::job::{
-    LearnedPace, LearnedProfile, Room, SideReport, SideStatus, TargetProfile,
+    Capacity, LearnedProfile, LearnedSlowdown, SideReport, SideStatus, TargetProfile,
 };
 use mastknot_core::scheduler::SchedulerEvent;
 use mastknot_core::types::WallTime;
@@ -21,8 +21,8 @@
 /// They don't wait for as long as the slow target takes.
 const HASTY_MS: u64 = 520;
 
-fn pace(class: &str, log_ratio: f64) -> LearnedPace {
-    LearnedPace {
+fn pace(class: &str, log_ratio: f64) -> LearnedSlowdown {
+    LearnedSlowdown {
         queue: Arc::from("queue"),
         class: Arc::from(class),
         runs: 400,
@@ -35,13 +35,13 @@
         labels: vec![Arc::from(class)],
         ..target_profile(side)
     };
-    let hidden = Room {
+    let hidden = Capacity {
         cpu_millis: hidden,
-        ..Room::default()
+        ..Capacity::default()
     };
     let status = SideStatus {
         target: Some(target),
-        hidden,
+        withheld: hidden,
         ..entry.next_status(free)
     };
     entry.reports(1, side, vec![SideReport::Status(status)]);
@@ -54,7 +54,7 @@
     tell(&mut entry, SLOW, "slow", 16_000, 0);
     let profile = LearnedProfile {
         written_ms: WRITTEN,
-        paces: vec![pace("fast", -0.3), pace("slow", 0.3)],
+        slowdowns: vec![pace("fast", -0.3), pace("slow", 0.3)],
         ..LearnedProfile::default()
     };
     let event = SchedulerEvent::Learned {
--- a/crates/mastknot_core/tests/wrong_memory.rs
+++ b/crates/mastknot_core/tests/wrong_memory.rs
@@ -7,7 +7,7 @@
     AgentEffect, AgentEvent, LookFailure, SessionId, TargetRunning, TargetView,
 };
 use mastknot_core::job::{
-    AdoptedRun, EntryNews, EntryOrder, EntryWelcome, RunId, SideReport, TargetId, TargetProfile,
+    AdoptedRun, EntryOrder, EntryUpdate, EntryWelcome, RunId, SideReport, TargetId, TargetProfile,
     TaskKind,
 };
 use mastknot_core::types::Incarnation;
@@ -35,14 +35,14 @@
             id: target,
             ..profile()
         }),
-        news: EntryNews::default(),
+        update: EntryUpdate::default(),
     })
 }
 
 fn adopt() -> EntryOrder {
     EntryOrder::Adopt(vec![AdoptedRun {
         run: run(1),
-        room: cpu(500),
+        required_capacity: cpu(500),
         estimate_ms: 100,
         kind: TaskKind::default(),
     }])
@@ -92,7 +92,7 @@
     let mut side = Side::unknown();
     let first = side.step(0, AgentEvent::Tick);
     let remembered = TargetProfile {
-        id: TargetId::born("target", 10),
+        id: TargetId::started_at("target", 10),
         ..profile()
     };
     side.step(1, AgentEvent::TargetRemembered(remembered));
--- a/crates/mastknot_entry/src/platform/resource_writer.rs
+++ b/crates/mastknot_entry/src/platform/resource_writer.rs
@@ -49,9 +49,9 @@
             WriteStep::Swap {
                 expected_revision,
                 resource,
-            } => write.called(swap(store, &key, expected_revision, &resource).await),
+            } => write.on_call_result(swap(store, &key, expected_revision, &resource).await),
             WriteStep::ReadBack => match read(store, &key).await {
-                Ok(found) => write.read_back(found),
+                Ok(found) => write.on_read_back(found),
                 Err(error) => {
                     info!(key = key.as_str(); "read-back has no answer yet: {error}");
                     tokio::time::sleep(PAUSE).await;
--- a/crates/mastknot_runtime/src/shared_store/profile_keeper.rs
+++ b/crates/mastknot_runtime/src/shared_store/profile_keeper.rs
@@ -78,17 +78,17 @@
         let item = match result {
             Ok(item) => item,
             Err(error) => {
-                self.ledger.note_read_failed(now);
+                self.ledger.record_read_failure(now);
                 self.note("read", "no_result");
                 warn!(error:%; "what was learned can't be read yet");
                 return;
             }
         };
         let present = item.as_ref().and_then(present);
-        match self.ledger.note_read(now, present) {
+        match self.ledger.record_read(now, present) {
             ProfileRead::Absent => self.note("read", "absent"),
             ProfileRead::Known => self.note("read", "known"),
-            ProfileRead::News(profile) => {
+            ProfileRead::Update(profile) => {
                 self.note("read", "news");
                 self.holder.take(Arc::clone(&profile)).await;
             }
@@ -116,7 +116,7 @@
                 self.without_result(&error)
             }
         };
-        self.ledger.note_write(now, write);
+        self.ledger.record_write(now, write);
     }
 
     fn without_result(&self, error: &SharedStoreError) -> ProfileWrite {
--- a/crates/mastknot_runtime/tests/profile_keeper.rs
+++ b/crates/mastknot_runtime/tests/profile_keeper.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use mastknot_core::job::{LearnedPace, LearnedProfile, LearnedSuspect, TaskKind};
-use mastknot_core::profile::{ProfileNews, ProfileOffer, profile_news};
+use mastknot_core::job::{LearnedProfile, LearnedSlowdown, LearnedSuspect, TaskKind};
+use mastknot_core::profile::{ProfileOffer, ProfileUpdate, profile_update};
 use mastknot_core::types::Hall;
 use mastknot_runtime::{
     Clock, DIRECTORY_WATCH_WAIT, Directory, DirectorySettings, KnownRevision, LastingStore,
@@ -201,8 +201,8 @@
         let suspects = numbers.iter().map(|number| LearnedSuspect {
             kind: TaskKind(*number),
             crashed_after_ms: 10,
-            part_per_mille: 250,
-            crashed: Vec::new(),
+            share_per_mille: 250,
+            crashed_sides: Vec::new(),
         });
         self.own.lock().expect("own").suspects = suspects.collect();
     }
@@ -220,13 +220,13 @@
             ..own
         };
         let news = match self.is_restless {
-            true => Some(ProfileNews::Pace),
-            false => profile_news(known.as_deref(), &profile, true),
+            true => Some(ProfileUpdate::Slowdown),
+            false => profile_update(known.as_deref(), &profile, true),
         };
         news.map(|news| ProfileOffer {
             profile,
-            news,
-            place: 0,
+            update: news,
+            writer_rank: 0,
         })
     }
 
@@ -252,7 +252,7 @@
 }
 
 fn written_by_others() -> LearnedProfile {
-    let pace = LearnedPace {
+    let pace = LearnedSlowdown {
         queue: Arc::from("queue"),
         class: Arc::from("fast"),
         runs: 64,
@@ -260,7 +260,7 @@
     };
     LearnedProfile {
         written_ms: 1,
-        paces: vec![pace],
+        slowdowns: vec![pace],
         ..LearnedProfile::default()
     }
 }
--- a/crates/mastknot_side/src/agent/agent_actor.rs
+++ b/crates/mastknot_side/src/agent/agent_actor.rs
@@ -11,7 +11,7 @@
     AgentEffect, AgentEvent, ConfirmTimes, DialOrder, SessionId, TargetAgent,
 };
 use mastknot_core::job::{
-    EntryOrder, KnownEntry, Room, SideReport, TargetCondition, TargetProfile,
+    Capacity, EntryOrder, KnownEntry, SideReport, TargetCondition, TargetProfile,
 };
 use mastknot_runtime::{Clock, Ticker, counters_text};
 use mastknot_wire::{LinkSender, LinkStats};
@@ -218,7 +218,7 @@
             free_cpu_millis: core.free().cpu_millis,
             capacity_cpu_millis: core
                 .target()
-                .map_or(Room::default(), |t| t.capacity)
+                .map_or(Capacity::default(), |t| t.capacity)
                 .cpu_millis,
             is_ready: u32::from(is_ready),
             is_hall_drained: u32::from(core.is_hall_drained()),
--- a/crates/mastknot_side/tests/target_memory.rs
+++ b/crates/mastknot_side/tests/target_memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use mastknot_core::agent::{AgentSettings, LookFailure, OrderOutcome, TargetView};
-use mastknot_core::job::{Room, TargetId, TargetProfile};
+use mastknot_core::job::{Capacity, TargetId, TargetProfile};
 use mastknot_runtime::{
     Clock, KnownRevision, SharedChanges, SharedCheck, SharedItem, SharedLease, SharedList,
     SharedStore, SharedStoreError, SharedWrite,
@@ -114,7 +114,7 @@
     TargetProfile {
         id: TargetId::named("worker-1"),
         service: "orders".into(),
-        capacity: Room::default(),
+        capacity: Capacity::default(),
         labels: Vec::new(),
     }
 }
--- a/crates/mastknot_virtual/src/jobs/draining.rs
+++ b/crates/mastknot_virtual/src/jobs/draining.rs
@@ -169,9 +169,9 @@
     /// What a wrong way makes of an order of an entry.
     pub(super) fn bend_order(&mut self, order: &mut EntryOrder) {
         let news = match order {
-            EntryOrder::Welcome(welcome) => &mut welcome.news,
+            EntryOrder::Welcome(welcome) => &mut welcome.update,
             EntryOrder::Heartbeat {
-                news: Some(news), ..
+                update: Some(news), ..
             } => news,
             _ => return,
         };
--- a/crates/mastknot_virtual/src/jobs/job_system.rs
+++ b/crates/mastknot_virtual/src/jobs/job_system.rs
@@ -4,7 +4,7 @@
 
 use mastknot_core::agent::{AgentEvent, DialBackoff, SessionId, TargetAgent};
 use mastknot_core::job::{
-    ConfigDocument, DrainedHalls, JobId, JobRequest, RoomGrant, ShareWeights, TargetProfile,
+    CapacityGrant, ConfigDocument, DrainedHalls, JobId, JobRequest, ShareWeights, TargetProfile,
     TaskRef,
 };
 use mastknot_core::profile::ProfileLedger;
@@ -160,7 +160,7 @@
     /// What each entry knows of it.
     pub(super) ledgers: Vec<ProfileLedger>,
     /// The last grant of each side, where each is told to two entries.
-    pub(super) repeated_grants: Option<HashMap<usize, RoomGrant>>,
+    pub(super) repeated_grants: Option<HashMap<usize, CapacityGrant>>,
     /// The weights of halls that the store has.
     pub(super) share_weights: Arc<ShareWeights>,
     /// What decides on room that is short.
--- a/crates/mastknot_virtual/src/jobs/processes.rs
+++ b/crates/mastknot_virtual/src/jobs/processes.rs
@@ -6,7 +6,7 @@
 use mastknot_core::agent::{
     AgentDecision, AgentEffect, AgentEvent, AgentSettings, DialOrder, TargetAgent,
 };
-use mastknot_core::job::{KnownEntry, Room};
+use mastknot_core::job::{Capacity, KnownEntry};
 use mastknot_core::relay::LinkRate;
 use mastknot_core::scheduler::{JobScheduler, SchedulerEffect, SchedulerEvent, SchedulerSettings};
 use mastknot_core::types::{Hall, Incarnation, Moment, NodeName};
@@ -199,7 +199,7 @@
                 limit,
                 ..
             } => {
-                let room = Room {
+                let room = Capacity {
                     cpu_millis: 1_600,
                     memory_mb: 64,
                     accelerators: 0,
--- a/crates/mastknot_virtual/src/jobs/profile_store.rs
+++ b/crates/mastknot_virtual/src/jobs/profile_store.rs
@@ -156,15 +156,15 @@
         let now = self.moment(self.entries[entry].asleep);
         let ledger = &mut self.ledgers[entry];
         let read = match answer {
-            ProfileAnswer::Written(write) => return ledger.note_write(now, write),
-            ProfileAnswer::NotRead => return ledger.note_read_failed(now),
+            ProfileAnswer::Written(write) => return ledger.record_write(now, write),
+            ProfileAnswer::NotRead => return ledger.record_read_failure(now),
             ProfileAnswer::Read(item) => {
                 let item = item.as_ref();
-                ledger.note_read(now, item.map(|(revision, value)| (*revision, &value[..])))
+                ledger.record_read(now, item.map(|(revision, value)| (*revision, &value[..])))
             }
         };
         match read {
-            ProfileRead::News(profile) => {
+            ProfileRead::Update(profile) => {
                 let profile = Arc::clone(&profile);
                 let wall = self.wall();
                 self.step_entry(entry, SchedulerEvent::Learned { profile, wall });
--- a/crates/mastknot_virtual/src/jobs/submitting.rs
+++ b/crates/mastknot_virtual/src/jobs/submitting.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mastknot_core::job::{JobId, JobRequest, Room, StepSpec};
+use mastknot_core::job::{Capacity, JobId, JobRequest, StepSpec};
 use mastknot_core::scheduler::ScarcitySettings;
 
 use super::act::Act;
@@ -31,7 +31,7 @@
             payload: Arc::from("text"),
             steps: vec![StepSpec {
                 count: tasks,
-                room: Room {
+                required_capacity: Capacity {
                     cpu_millis: 1_600,
                     memory_mb: 64,
                     accelerators: 0,
--- a/crates/mastknot_virtual/src/jobs/targets.rs
+++ b/crates/mastknot_virtual/src/jobs/targets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mastknot_core::agent::{AgentEvent, LookFailure, OrderOutcome, TargetReport, TargetView};
-use mastknot_core::job::{Room, RunId, TargetId, TargetProfile};
+use mastknot_core::job::{Capacity, RunId, TargetId, TargetProfile};
 use rand::RngExt;
 
 use super::act::Act;
@@ -27,7 +27,7 @@
         slot.lives += 1;
         let lives = slot.lives;
         let id = self.target_id(side);
-        let capacity = Room {
+        let capacity = Capacity {
             cpu_millis: self.settings.cpu_millis,
             memory_mb: 32_768,
             accelerators: 0,
@@ -44,7 +44,9 @@
         match self.names_kept {
             NamesKept::None => TargetId::named(format!("target-{side}-{lives}")),
             // No two lives of a target start in one millisecond.
-            NamesKept::WithBirths => TargetId::born(format!("target-{side}"), self.now / MILLI + 1),
+            NamesKept::WithBirths => {
+                TargetId::started_at(format!("target-{side}"), self.now / MILLI + 1)
+            }
             NamesKept::WithoutBirths | NamesKept::ByNumbers => {
                 TargetId::named(format!("target-{side}"))
             }
@@ -103,7 +105,7 @@
         };
         let is_known = self.now > target.resized + ROOM_KNOWN_AFTER;
         let used = target.used();
-        if is_known && !target.capacity.holds(&used) {
+        if is_known && !target.capacity.covers(&used) {
             self.audit.started_without_room(run, used.cpu_millis);
         }
     }
--- a/crates/mastknot_virtual/src/jobs/variants.rs
+++ b/crates/mastknot_virtual/src/jobs/variants.rs
@@ -54,7 +54,7 @@
         if let Some(grant) = status.grant {
             grants.insert(side, grant);
         } else if let Some(grant) = grants.remove(&side) {
-            status.free = status.free.with(&grant.room);
+            status.free = status.free.with(&grant.capacity);
             status.grant = Some(grant);
         }
     }
@@ -68,7 +68,7 @@
             let slot = &mut self.targets[side];
             slot.births += u64::from(report.number < slot.newest_number);
             slot.newest_number = report.number;
-            report.profile.id.born_ms = 1 + slot.births;
+            report.profile.id.started_at_ms = 1 + slot.births;
         }
     }
 
--- a/crates/mastknot_virtual/src/jobs/virtual_target.rs
+++ b/crates/mastknot_virtual/src/jobs/virtual_target.rs
@@ -3,7 +3,7 @@
 use mastknot_core::agent::{
     HowEnded, LookFailure, OrderOutcome, OrderRefusal, TargetFinished, TargetRunning, TargetView,
 };
-use mastknot_core::job::{Room, RunId, TargetId, TaskRef};
+use mastknot_core::job::{Capacity, RunId, TargetId, TaskRef};
 
 /// How a target behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Debug)]
 struct TargetRun {
-    room: Room,
+    room: Capacity,
     started: u64,
     work: u64,
     ends: Option<(u64, HowEnded)>,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct VirtualTarget {
     pub(super) id: TargetId,
-    pub(super) capacity: Room,
+    pub(super) capacity: Capacity,
     /// When its room last changed.
     pub(super) resized: u64,
     /// Parts in a thousand by which its clock is slow.
@@ -73,7 +73,7 @@
 
 impl VirtualTarget {
     /// A target born now.
-    pub(super) fn new(id: TargetId, capacity: Room, slow_permille: u64, now: u64) -> Self {
+    pub(super) fn new(id: TargetId, capacity: Capacity, slow_permille: u64, now: u64) -> Self {
         Self {
             id,
             capacity,
@@ -156,9 +156,9 @@
     }
 
     /// What runs takes, what is being stopped included.
-    pub(super) fn used(&self) -> Room {
+    pub(super) fn used(&self) -> Capacity {
         let runs = self.runs.values();
-        runs.fold(Room::default(), |used, run| used.with(&run.room))
+        runs.fold(Capacity::default(), |used, run| used.with(&run.room))
     }
 
     /// Starts a run; says whether it began now. A target that does not guard its room starts what does not fit.
@@ -196,7 +196,7 @@
         if order.run.attempt <= fence {
             return refused(OrderRefusal::Old);
         }
-        if guards_room && !self.capacity.without(&self.used()).holds(&order.room) {
+        if guards_room && !self.capacity.without(&self.used()).covers(&order.room) {
             return refused(OrderRefusal::NoRoom);
         }
         let factor = if now < self.cold_until {
@@ -270,7 +270,7 @@
         });
         Ok(TargetView {
             clock_ms,
-            born_ms: self.id.born_ms,
+            born_ms: self.id.started_at_ms,
             running: running.collect(),
             finished: self.finished.clone(),
         })
@@ -286,7 +286,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct VirtualStart {
     pub(super) run: RunId,
-    pub(super) room: Room,
+    pub(super) room: Capacity,
     /// How long the work takes, in microseconds.
     pub(super) work: u64,
     /// How a target behaves that starts this task, whatever its mood.
--- a/crates/mastknot_virtual/src/system/callers.rs
+++ b/crates/mastknot_virtual/src/system/callers.rs
@@ -84,9 +84,9 @@
                     resource: stored,
                 } => {
                     let call = self.swap_resource(&resource, expected_revision, stored);
-                    write.called(call)
+                    write.on_call_result(call)
                 }
-                WriteStep::ReadBack => write.read_back(self.store.resource(&resource)),
+                WriteStep::ReadBack => write.on_read_back(self.store.resource(&resource)),
                 done => return done,
             };
         }
--- a/crates/mastknot_virtual/tests/broken_variants.rs
+++ b/crates/mastknot_virtual/tests/broken_variants.rs
@@ -61,8 +61,11 @@
     let WriteStep::Swap { resource, .. } = theirs.first() else {
         panic!("the first step is a swap");
     };
-    assert_eq!(ours.called(WriteCall::NoAnswer), WriteStep::ReadBack);
-    ours.read_back(Some((5, resource)))
+    assert_eq!(
+        ours.on_call_result(WriteCall::NoAnswer),
+        WriteStep::ReadBack
+    );
+    ours.on_read_back(Some((5, resource)))
 }
 
 #[test]
--- a/crates/mastknot_virtual/tests/learned_profile.rs
+++ b/crates/mastknot_virtual/tests/learned_profile.rs
@@ -104,7 +104,7 @@
     assert!(all_completed(&system, &jobs));
     assert_eq!(writers(&system).len(), 1);
     let written = document(&system);
-    assert_eq!((written.paces.len(), written.run_times.len()), (2, 1));
+    assert_eq!((written.slowdowns.len(), written.run_times.len()), (2, 1));
     assert_eq!(profiles_read(&system), [1; ENTRIES]);
 }
 
@@ -208,7 +208,7 @@
         let system = with_document(value);
         assert_eq!(system.profile_store().not_taken, ENTRIES);
         assert_eq!(profiles_read(&system), [0; ENTRIES]);
-        assert_eq!(document(&system).paces.len(), 2);
+        assert_eq!(document(&system).slowdowns.len(), 2);
     }
 }
 
@@ -217,7 +217,7 @@
     let mut system = system(true);
     submit(&mut system, 1_000, 120_000, 50);
     system.run_until(millis(WRITTEN_MS));
-    assert_eq!(document(&system).paces.len(), 2);
+    assert_eq!(document(&system).slowdowns.len(), 2);
     // Another writer has put nothing there.
     system.put_profile(Vec::new());
     restart_entries(&mut system, WRITTEN_MS + 1_000);
--- a/crates/mastknot_virtual/tests/learned_profile_bytes.rs
+++ b/crates/mastknot_virtual/tests/learned_profile_bytes.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use mastknot_core::job::{
-    LearnedPace, LearnedProfile, LearnedRunTimes, LearnedSuspect, MAX_PROFILE_BYTES, ProfileError,
-    TaskKind,
+    LearnedProfile, LearnedRunTimes, LearnedSlowdown, LearnedSuspect, MAX_PROFILE_BYTES,
+    ProfileError, TaskKind,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -32,9 +32,9 @@
     prop_oneof![4 => -60.0..60.0, 1 => any::<f64>()]
 }
 
-fn pace() -> impl Strategy<Value = LearnedPace> {
+fn pace() -> impl Strategy<Value = LearnedSlowdown> {
     (name(), name(), any::<u32>(), figure()).prop_map(|(queue, class, runs, log_ratio)| {
-        LearnedPace {
+        LearnedSlowdown {
             queue,
             class,
             runs,
@@ -48,9 +48,9 @@
     (name(), any::<u32>(), figures).prop_map(|(queue, steps, figures)| LearnedRunTimes {
         queue,
         steps,
-        log_guess: figures.0,
-        log_ran: figures.1,
-        guess_variance: figures.2,
+        log_estimate: figures.0,
+        log_run_time: figures.1,
+        estimate_variance: figures.2,
         covariance: figures.3,
     })
 }
@@ -61,8 +61,8 @@
         LearnedSuspect {
             kind: TaskKind(kind),
             crashed_after_ms: after_ms,
-            part_per_mille: part,
-            crashed: names.iter().map(|name| name.as_str().into()).collect(),
+            share_per_mille: part,
+            crashed_sides: names.iter().map(|name| name.as_str().into()).collect(),
         }
     })
 }
@@ -76,7 +76,7 @@
     (any::<u64>(), lists).prop_map(
         |(written_ms, (paces, run_times, suspects))| LearnedProfile {
             written_ms,
-            paces,
+            slowdowns: paces,
             run_times,
             suspects,
         },
@@ -90,16 +90,16 @@
 /// All that is believed lies within its bounds.
 fn is_sound(profile: &LearnedProfile) -> bool {
     let is_log = |value: f64| value.abs() <= 50.0;
-    let paces = profile.paces.iter().all(|pace| is_log(pace.log_ratio));
+    let paces = profile.slowdowns.iter().all(|pace| is_log(pace.log_ratio));
     let mut times = profile.run_times.iter();
     let times = times.all(|times| {
-        is_log(times.log_guess)
-            && is_log(times.log_ran)
-            && (0.0..=2_500.0).contains(&times.guess_variance)
+        is_log(times.log_estimate)
+            && is_log(times.log_run_time)
+            && (0.0..=2_500.0).contains(&times.estimate_variance)
             && times.covariance.abs() <= 2_500.0
     });
     let mut suspects = profile.suspects.iter();
-    paces && times && suspects.all(|suspect| (1..=1_000).contains(&suspect.part_per_mille))
+    paces && times && suspects.all(|suspect| (1..=1_000).contains(&suspect.share_per_mille))
 }
 
 #[test]
