--- a/crates/mastknot_core/src/agent/agent_decision.rs
+++ b/crates/mastknot_core/src/agent/agent_decision.rs
@@ -41,7 +41,7 @@
         percent: u8,
     },
     /// An order got no answer.
-    Unconfirmed {
+    OrderUnanswered {
         /// The run.
         run: RunId,
     },
@@ -82,7 +82,7 @@
         holder: NodeName,
     },
     /// The entries have had time to claim again what this side had granted them before it started.
-    ClaimsTaken {
+    ClaimGraceEnded {
         /// Claims of other jobs that came before.
         early_claims: usize,
     },
@@ -130,7 +130,7 @@
         waited_ms: u32,
     },
     /// The target's condition changed.
-    Condition {
+    ConditionChanged {
         /// The target, if one is known.
         target: Option<TargetId>,
         /// Its condition.
@@ -153,7 +153,7 @@
         halls: usize,
     },
     /// The next life of a target answers under the name of the known one.
-    Reborn {
+    TargetRestarted {
         /// The life that is over.
         target: TargetId,
         /// Runs of which the next life may have taken the order: they are stopped.
@@ -162,7 +162,7 @@
     /// A life of the target has ended by a crash.
     TargetCrashed(TargetCrash),
     /// A new fencing token is in use.
-    Token {
+    TokenTaken {
         /// The token.
         token: u64,
         /// Runs of an earlier life that were found.
@@ -179,12 +179,12 @@
         target: TargetId,
     },
     /// Another life of the target has reported; a look will tell whether the known one is over.
-    OtherLife {
+    OtherIncarnation {
         /// The life that reported.
         target: TargetId,
     },
     /// A look failed.
-    LookFailed {
+    ProbeFailed {
         /// How many in a row.
         in_a_row: u32,
     },
--- a/crates/mastknot_core/src/agent/agent_effect.rs
+++ b/crates/mastknot_core/src/agent/agent_effect.rs
@@ -32,7 +32,7 @@
         /// The life of the target that is meant.
         target: Option<TargetId>,
         /// Without an answer after this the order is looked for.
-        limit: Duration,
+        timeout: Duration,
     },
     /// Order the target to stop a run.
     StopRun {
@@ -41,10 +41,10 @@
         /// The fencing token.
         token: u64,
         /// Without an answer after this it is sent again.
-        limit: Duration,
+        timeout: Duration,
     },
     /// Look at the target, and renew its hold if a time is given.
-    Look {
+    Probe {
         /// The look.
         number: u64,
         /// The hold, on the target's clock in milliseconds.
@@ -58,12 +58,12 @@
         /// The life of the target that is meant.
         target: Option<TargetId>,
         /// Without an answer after this the look has failed.
-        limit: Duration,
+        timeout: Duration,
     },
     /// These entries are known; dial those that have no link.
-    Entries(Vec<KnownEntry>),
+    DialEntries(Vec<KnownEntry>),
     /// Another life of the target has reported; worth writing down.
-    TargetKnown(TargetProfile),
+    StoreProfile(TargetProfile),
     /// Something was decided.
     Decided(AgentDecision),
     /// Everything that ran has ended; the process may end.
--- a/crates/mastknot_core/src/agent/agent_event.rs
+++ b/crates/mastknot_core/src/agent/agent_event.rs
@@ -10,7 +10,7 @@
         clock_ms: u64,
     },
     /// This or a later attempt of the task has been there.
-    Old,
+    OldAttempt,
     /// The order's time has passed.
     Late,
     /// No room.
@@ -20,7 +20,7 @@
     /// The order is malformed or was never asked for.
     Rejected,
     /// Another life of the target answers.
-    OtherInstance,
+    OtherIncarnation,
 }
 
 /// What became of an order to start.
@@ -41,14 +41,14 @@
 
 /// Why a look at the target failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LookFailure {
+pub enum ProbeFailure {
     /// A higher fencing token has been there.
     Fenced {
         /// The target's clock in milliseconds.
         clock_ms: u64,
     },
     /// Another life of the target answers.
-    OtherInstance,
+    OtherIncarnation,
     /// Nothing listens at the target's address.
     Refused,
     /// No answer in time, or none that can be read.
@@ -66,7 +66,7 @@
 
 /// How a target says that a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HowEnded {
+pub enum FinishReason {
     /// It did its work.
     Done,
     /// It failed.
@@ -74,7 +74,7 @@
     /// It was stopped.
     Stopped,
     /// The hold ran out.
-    Lapsed,
+    HoldExpired,
 }
 
 /// An ended run as its target lists it.
@@ -85,7 +85,7 @@
     /// The run.
     pub run: RunId,
     /// How it ended.
-    pub how: HowEnded,
+    pub reason: FinishReason,
 }
 
 /// What one look at a target showed.
@@ -94,7 +94,7 @@
     /// The target's clock in milliseconds.
     pub clock_ms: u64,
     /// When the life that answered started, in Unix milliseconds; 0 if it does not say.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     /// What runs.
     pub running: Vec<TargetRunning>,
     /// What has ended since the last noted end.
@@ -145,11 +145,11 @@
         is_acknowledged: bool,
     },
     /// A look has an outcome.
-    Looked {
+    Probed {
         /// The look.
         number: u64,
         /// What it showed.
-        result: Result<TargetView, LookFailure>,
+        result: Result<TargetView, ProbeFailure>,
     },
     /// Entries were found outside of any link.
     EntriesFound(Vec<KnownEntry>),
--- a/crates/mastknot_core/src/agent/agent_settings.rs
+++ b/crates/mastknot_core/src/agent/agent_settings.rs
@@ -30,7 +30,7 @@
     /// How long runs of an earlier life, once seen, wait for an entry that takes them over.
     pub adoption_limit: Duration,
     /// The longest time for which a target holds its runs, whatever it is asked for.
-    pub longest_hold: Duration,
+    pub max_hold: Duration,
     /// What its link carries.
     pub link: LinkRate,
 }
@@ -50,7 +50,7 @@
             idle_report_delay: Duration::from_millis(40),
             settle_limit: Duration::from_millis(600),
             adoption_limit: Duration::from_millis(200),
-            longest_hold: Duration::from_secs(1),
+            max_hold: Duration::from_secs(1),
             link: LinkRate::default(),
         }
     }
--- a/crates/mastknot_core/src/agent/claim_grace.rs
+++ b/crates/mastknot_core/src/agent/claim_grace.rs
@@ -53,7 +53,7 @@
         self.grace.is_over = true;
         let early = std::mem::take(&mut self.grace.early);
         let early_claims = early.len();
-        self.decided(AgentDecision::ClaimsTaken { early_claims });
+        self.decided(AgentDecision::ClaimGraceEnded { early_claims });
         let resumed = self.owners.values().filter(|owner| owner.is_resumed);
         let resumed: Vec<SessionId> = resumed.filter_map(|owner| owner.session).collect();
         for session in resumed {
--- a/crates/mastknot_core/src/agent/granting.rs
+++ b/crates/mastknot_core/src/agent/granting.rs
@@ -60,7 +60,7 @@
             return Capacity::default();
         }
         let coming = expected_room(&self.runs, now, until, pace);
-        self.free().with(&coming).without(&self.promised())
+        self.free_capacity().with(&coming).without(&self.promised())
     }
 
     /// What belongs to somebody: grants and starts that wait.
@@ -152,7 +152,7 @@
             0 => STANDING_FOR,
             _ => offer.until.since(now).saturating_sub(KEPT_LONGER),
         };
-        let free = self.free().without(&self.queued.room());
+        let free = self.free_capacity().without(&self.queued.room());
         (!valid.is_zero()).then(|| CapacityGrant {
             capacity: offer.left,
             ahead: offer.left.without(&free),
@@ -213,7 +213,7 @@
         let may_wait = Duration::from_millis(u64::from(start.may_wait_ms));
         let offer = self.owners.get(key).and_then(|owner| owner.offer);
         if let Some(offer) = offer.filter(|offer| offer.left.covers(room)) {
-            let free = self.free().without(&self.queued.room());
+            let free = self.free_capacity().without(&self.queued.room());
             let until = offer.until.max(now + may_wait);
             return match free.covers(room) {
                 true => StartVerdict::Now,
@@ -221,7 +221,7 @@
             };
         }
         let own = offer.map(|offer| offer.left).unwrap_or_default();
-        let free = self.free().without(&self.queued.room());
+        let free = self.free_capacity().without(&self.queued.room());
         if free.covers(room) && self.unreserved().with(&own).covers(room) {
             return StartVerdict::Now;
         }
@@ -265,7 +265,7 @@
         for start in late {
             self.turn_away(&start.owner, start.order.run, NotRunCause::NoRoom);
         }
-        while let Some(start) = self.queued.take_first(&self.free()) {
+        while let Some(start) = self.queued.take_first(&self.free_capacity()) {
             let waited_ms = now.since(start.since).as_millis() as u32;
             let run = start.order.run;
             match self.fault_against_queued(now, &start) {
@@ -364,7 +364,7 @@
         while let Some(end) = next_expected_end(&self.runs, now, until, pace) {
             until = end;
             let coming = expected_room(&self.runs, now, until, pace);
-            let left = self.free().with(&coming).without(&promised);
+            let left = self.free_capacity().with(&coming).without(&promised);
             if left.covers(&self.smallest_run()) {
                 break;
             }
--- a/crates/mastknot_core/src/agent/hall_shares.rs
+++ b/crates/mastknot_core/src/agent/hall_shares.rs
@@ -28,28 +28,29 @@
 
 impl HallShares {
     /// The most halls of which a virtual time is kept: a side's entries stand in a few.
-    pub const MOST_HALLS: usize = 64;
+    pub const MAX_HALLS: usize = 64;
 
     /// A hall's virtual time.
-    pub fn time_of(&self, hall: &Hall) -> u64 {
+    pub fn virtual_time(&self, hall: &Hall) -> u64 {
         self.ahead.get(hall).copied().unwrap_or(self.floor)
     }
 
     /// Its virtual time once it has used `work` more, in thousandths of the target times milliseconds.
-    pub fn time_after(&self, hall: &Hall, work: u64, weights: &ShareWeights) -> u64 {
-        self.time_of(hall).saturating_add(cost(hall, work, weights))
+    pub fn virtual_time_after(&self, hall: &Hall, work: u64, weights: &ShareWeights) -> u64 {
+        self.virtual_time(hall)
+            .saturating_add(cost(hall, work, weights))
     }
 
     /// Room is to be given while these halls wait.
-    pub fn note_waiting<'a>(&mut self, waiting: impl Iterator<Item = &'a Hall>) {
-        if let Some(lowest) = waiting.map(|hall| self.time_of(hall)).min() {
+    pub fn record_waiting<'a>(&mut self, waiting: impl Iterator<Item = &'a Hall>) {
+        if let Some(lowest) = waiting.map(|hall| self.virtual_time(hall)).min() {
             self.raise_floor(lowest);
         }
     }
 
     /// A hall has been given `work`.
     pub fn charge(&mut self, hall: &Hall, work: u64, weights: &ShareWeights) {
-        let time = self.time_after(hall, work, weights);
+        let time = self.virtual_time_after(hall, work, weights);
         let lead = cost(hall, WHOLE_PERMILLE * MAX_LEAD_MS, weights);
         self.ahead.insert(hall.clone(), time);
         self.raise_floor(time.saturating_sub(lead));
@@ -57,7 +58,7 @@
     }
 
     /// A hall did not use `work` that it was charged for.
-    pub fn give_back(&mut self, hall: &Hall, work: u64, weights: &ShareWeights) {
+    pub fn refund(&mut self, hall: &Hall, work: u64, weights: &ShareWeights) {
         let cost = cost(hall, work, weights);
         if let Some(time) = self.ahead.get_mut(hall) {
             *time = time.saturating_sub(cost);
@@ -66,7 +67,7 @@
     }
 
     /// Of how many halls a virtual time is kept.
-    pub fn halls_kept(&self) -> usize {
+    pub fn tracked_halls(&self) -> usize {
         self.ahead.len()
     }
 
@@ -82,7 +83,7 @@
 
     /// Forgets the hall that is ahead by the least: it loses the least by it.
     fn keep_bounded(&mut self) {
-        if self.ahead.len() <= Self::MOST_HALLS {
+        if self.ahead.len() <= Self::MAX_HALLS {
             return;
         }
         let lowest = self.ahead.iter().min_by_key(|(_, time)| **time);
--- a/crates/mastknot_core/src/agent/hall_totals.rs
+++ b/crates/mastknot_core/src/agent/hall_totals.rs
@@ -22,7 +22,7 @@
 
 impl HallTotals {
     /// Work was started for a hall while those in `waiting` waited, each named once.
-    pub fn note_started(
+    pub fn record_started(
         &mut self,
         hall: &Hall,
         work: u64,
@@ -50,7 +50,7 @@
 
     /// Halls past the bound are not counted.
     fn of(&mut self, hall: &Hall) -> Option<&mut HallTotal> {
-        let is_full = self.halls.len() >= HallShares::MOST_HALLS;
+        let is_full = self.halls.len() >= HallShares::MAX_HALLS;
         if is_full && !self.halls.contains_key(hall) {
             return None;
         }
--- a/crates/mastknot_core/src/agent/learning.rs
+++ b/crates/mastknot_core/src/agent/learning.rs
@@ -82,7 +82,7 @@
             return;
         }
         self.entries = entries.clone();
-        self.effects.push(AgentEffect::Entries(entries));
+        self.effects.push(AgentEffect::DialEntries(entries));
     }
 
     /// Sends what others have asked for, and asks for what is newer elsewhere.
--- a/crates/mastknot_core/src/agent/looks.rs
+++ b/crates/mastknot_core/src/agent/looks.rs
@@ -4,7 +4,7 @@
 
 use super::owners::Owner;
 use super::target_agent::{LookInFlight, TargetAgent};
-use super::{AgentDecision, AgentEffect, LookFailure, Run, RunPhase, TargetView};
+use super::{AgentDecision, AgentEffect, ProbeFailure, Run, RunPhase, TargetView};
 use crate::types::Moment;
 
 /// After so many failed looks in a row, or with so many unanswered orders, a target counts as absent.
@@ -95,14 +95,14 @@
         if let Some(until) = hold_until_ms {
             self.link.note_hold(until);
         }
-        self.effects.push(AgentEffect::Look {
+        self.effects.push(AgentEffect::Probe {
             number,
             hold_until_ms,
             token,
             last_seen: self.link.last_seen,
             wait,
             target: self.target_id(),
-            limit,
+            timeout: limit,
         });
     }
 
@@ -127,7 +127,7 @@
         &mut self,
         now: Moment,
         number: u64,
-        result: Result<TargetView, LookFailure>,
+        result: Result<TargetView, ProbeFailure>,
     ) {
         let Some(look) = self.look.filter(|look| look.number == number) else {
             return;
@@ -136,15 +136,15 @@
         self.look_not_before = now;
         match result {
             Ok(view) => self.viewed(now, look, view),
-            Err(LookFailure::Fenced { clock_ms }) => self.pass_fence(now, look.token, clock_ms),
-            Err(LookFailure::OtherInstance) => self.other_life_answered(now),
-            Err(LookFailure::Refused) => {
+            Err(ProbeFailure::Fenced { clock_ms }) => self.pass_fence(now, look.token, clock_ms),
+            Err(ProbeFailure::OtherIncarnation) => self.other_life_answered(now),
+            Err(ProbeFailure::Refused) => {
                 self.link.contact_loss.note_refused(now);
                 self.target_refused(now, look.sent);
                 self.link.failed_looks = ABSENT_AFTER;
                 self.look_not_before = now + REFUSED_LOOK_PAUSE;
             }
-            Err(LookFailure::Silent) => self.look_failed(now, look),
+            Err(ProbeFailure::Silent) => self.look_failed(now, look),
         }
     }
 
@@ -155,7 +155,7 @@
             false => self.link.contact_loss.note_timeout(),
         }
         let in_a_row = self.link.failed_looks;
-        self.decided(AgentDecision::LookFailed { in_a_row });
+        self.decided(AgentDecision::ProbeFailed { in_a_row });
         if in_a_row > 1 {
             self.look_not_before = now + FAILED_LOOK_PAUSE;
         }
--- a/crates/mastknot_core/src/agent/mod.rs
+++ b/crates/mastknot_core/src/agent/mod.rs
@@ -50,8 +50,8 @@
 pub use agent_decision::{AgentDecision, LeaseEndCause};
 pub use agent_effect::AgentEffect;
 pub use agent_event::{
-    AgentEvent, HowEnded, LookFailure, OrderOutcome, OrderRefusal, TargetFinished, TargetRunning,
-    TargetView,
+    AgentEvent, FinishReason, OrderOutcome, OrderRefusal, ProbeFailure, TargetFinished,
+    TargetRunning, TargetView,
 };
 pub use agent_settings::AgentSettings;
 pub use confirm_times::ConfirmTimes;
--- a/crates/mastknot_core/src/agent/offers.rs
+++ b/crates/mastknot_core/src/agent/offers.rs
@@ -82,7 +82,8 @@
     pub(super) fn available_to(&self, key: &OwnerKey) -> Capacity {
         let offer = self.owners.get(key).and_then(|owner| owner.offer);
         let own = offer.map(|offer| offer.left).unwrap_or_default();
-        own.with(&self.unreserved()).smaller_of(&self.free())
+        own.with(&self.unreserved())
+            .smaller_of(&self.free_capacity())
     }
 
     /// What an entry is told that it may start.
@@ -114,7 +115,7 @@
         };
         let is_little = share < shown_from;
         SharedRoom {
-            free: self.free(),
+            free: self.free_capacity(),
             is_granting,
             shown: match (has_need || is_granting) && is_little {
                 true => Capacity::default(),
@@ -125,7 +126,7 @@
 
     /// What is free and kept for nobody.
     pub(super) fn unreserved(&self) -> Capacity {
-        self.free().without(&self.promised())
+        self.free_capacity().without(&self.promised())
     }
 
     /// A start uses up the entry's own offer first.
--- a/crates/mastknot_core/src/agent/order_answers.rs
+++ b/crates/mastknot_core/src/agent/order_answers.rs
@@ -77,25 +77,25 @@
             // Only a look that is sent from now on can tell; the one under way may wait for long.
             self.look = None;
             self.look_not_before = now;
-            self.decided(AgentDecision::Unconfirmed { run: id });
+            self.decided(AgentDecision::OrderUnanswered { run: id });
         }
     }
 
     fn order_refused(&mut self, now: Moment, id: RunId, refusal: OrderRefusal) {
         match refusal {
-            OrderRefusal::Old => self.end_unstarted(now, id, NotRunCause::OldAttempt),
+            OrderRefusal::OldAttempt => self.end_unstarted(now, id, NotRunCause::OldAttempt),
             OrderRefusal::Late => self.end_unstarted(now, id, NotRunCause::Late),
             OrderRefusal::NoRoom => self.end_unstarted(now, id, NotRunCause::NoRoom),
             OrderRefusal::Rejected => self.end_unstarted(now, id, NotRunCause::Rejected),
             OrderRefusal::Unhealthy => {
-                self.health.note_failed(now);
+                self.health.record_failed(now);
                 self.end_unstarted(now, id, NotRunCause::TargetUnavailable);
             }
             OrderRefusal::Fenced { clock_ms } => {
                 self.take_token(now, clock_ms);
                 self.end_unstarted(now, id, NotRunCause::TargetUnavailable);
             }
-            OrderRefusal::OtherInstance => {
+            OrderRefusal::OtherIncarnation => {
                 self.end_unstarted(now, id, NotRunCause::TargetUnavailable);
                 self.other_life_answered(now);
             }
@@ -139,14 +139,14 @@
             EndOfRun::Done => {
                 let left = 100 - run.paced_percent.min(100);
                 self.pace.note(now.since(run.paced), left, run.estimate());
-                self.health.note_done();
+                self.health.record_done();
                 end
             }
             EndOfRun::Failed { .. } => EndOfRun::Failed {
-                is_target_suspect: self.health.note_failed(now),
+                is_target_suspect: self.health.record_failed(now),
             },
             EndOfRun::Stalled => {
-                self.health.note_stalled(now);
+                self.health.record_stalled(now);
                 end
             }
             _ => end,
--- a/crates/mastknot_core/src/agent/orders.rs
+++ b/crates/mastknot_core/src/agent/orders.rs
@@ -90,7 +90,7 @@
             hold_until_ms,
             token: self.link.order_token(),
             target: self.target_id(),
-            limit: self.answers.limit(),
+            timeout: self.answers.limit(),
         });
     }
 
@@ -175,7 +175,7 @@
         self.decided(AgentDecision::TurnedAway {
             run,
             cause,
-            free_cpu_millis: self.free().cpu_millis,
+            free_cpu_millis: self.free_capacity().cpu_millis,
         });
         if let Some(owner) = self.owners.get_mut(key) {
             owner.ended.push(EndedRun {
@@ -221,8 +221,11 @@
     pub(super) fn send_stop(&mut self, run: RunId) {
         let token = self.link.order_token();
         let limit = self.answers.limit();
-        self.effects
-            .push(AgentEffect::StopRun { run, token, limit });
+        self.effects.push(AgentEffect::StopRun {
+            run,
+            token,
+            timeout: limit,
+        });
     }
 
     pub(super) fn retry_stops(&mut self, now: Moment) {
--- a/crates/mastknot_core/src/agent/rebirths.rs
+++ b/crates/mastknot_core/src/agent/rebirths.rs
@@ -81,13 +81,13 @@
         if let Some(target) = self.target_id() {
             self.lives.end(target.clone());
             let stopped = going_on.len();
-            self.decided(AgentDecision::Reborn { target, stopped });
+            self.decided(AgentDecision::TargetRestarted { target, stopped });
         }
         self.life_over_but_for(now, &going_on);
-        self.note_birth(view.born_ms);
+        self.note_birth(view.started_at_ms);
         if is_overlong {
             // The next life was asked to hold its runs by the clock of the one before, which may be far ahead.
-            self.link.overlong_until = now + TargetLink::held_for(self.settings.longest_hold);
+            self.link.overlong_until = now + TargetLink::held_for(self.settings.max_hold);
         }
     }
 
@@ -101,7 +101,7 @@
         }
         let going_on = self.runs_where(|_, run| run.since >= looked || run.is_unanswered());
         self.life_over_but_for(now, &going_on);
-        let longest = TargetLink::held_for(self.settings.longest_hold);
+        let longest = TargetLink::held_for(self.settings.max_hold);
         self.link.unclear_until = Some(now + longest);
     }
 
--- a/crates/mastknot_core/src/agent/reporting.rs
+++ b/crates/mastknot_core/src/agent/reporting.rs
@@ -74,7 +74,7 @@
         let free = known.map(|owner| self.shown_to(owner, shared));
         let free = free.unwrap_or_default();
         let hidden = match self.is_granting() {
-            true => self.free().without(&free),
+            true => self.free_capacity().without(&free),
             false => Capacity::default(),
         };
         let target = self.link.profile.clone();
--- a/crates/mastknot_core/src/agent/run_views.rs
+++ b/crates/mastknot_core/src/agent/run_views.rs
@@ -5,7 +5,7 @@
 
 use super::target_agent::{LookInFlight, TargetAgent};
 use super::target_pace::SHORTEST_STRETCH;
-use super::{AgentDecision, HowEnded, RunPhase, TargetFinished, TargetRunning, TargetView};
+use super::{AgentDecision, FinishReason, RunPhase, TargetFinished, TargetRunning, TargetView};
 use crate::job::{EndOfRun, EndedRun, NotRunCause, RunId};
 use crate::types::Moment;
 
@@ -18,18 +18,18 @@
 
 impl TargetAgent {
     pub(super) fn viewed(&mut self, now: Moment, look: LookInFlight, view: TargetView) {
-        if self.is_other_birth(view.born_ms) && self.is_life_known() {
+        if self.is_other_birth(view.started_at_ms) && self.is_life_known() {
             self.reborn(now, look, &view);
             return;
         }
-        if self.is_other_birth(view.born_ms) {
+        if self.is_other_birth(view.started_at_ms) {
             self.forget_profile(now);
         }
         let sent = look.sent;
         self.link.read_clock(now, view.clock_ms);
         self.link.viewed = sent;
-        self.note_birth(view.born_ms);
-        self.link.is_confirmed |= look.is_named || view.born_ms != 0;
+        self.note_birth(view.started_at_ms);
+        self.link.is_confirmed |= look.is_named || view.started_at_ms != 0;
         if let Some(target) = self.lives.known_answered(sent) {
             self.decided(AgentDecision::LateReport { target });
         }
@@ -43,7 +43,7 @@
             self.link.is_settled = true;
             let token = self.link.token.unwrap_or_default();
             let survivors = self.survivors.len();
-            self.decided(AgentDecision::Token { token, survivors });
+            self.decided(AgentDecision::TokenTaken { token, survivors });
         }
     }
 
@@ -67,13 +67,13 @@
                 continue;
             }
             self.link.last_seen = ended.number;
-            let end = match ended.how {
-                HowEnded::Done => EndOfRun::Done,
-                HowEnded::Failed => EndOfRun::Failed {
+            let end = match ended.reason {
+                FinishReason::Done => EndOfRun::Done,
+                FinishReason::Failed => EndOfRun::Failed {
                     is_target_suspect: false,
                 },
-                HowEnded::Stopped => self.intended_end(&ended.run),
-                HowEnded::Lapsed => EndOfRun::Lost,
+                FinishReason::Stopped => self.intended_end(&ended.run),
+                FinishReason::HoldExpired => EndOfRun::Lost,
             };
             if self.runs.get(&ended.run).is_some() {
                 self.end_run(now, ended.run, end);
--- a/crates/mastknot_core/src/agent/sharing.rs
+++ b/crates/mastknot_core/src/agent/sharing.rs
@@ -46,7 +46,7 @@
         let shares = &self.hall_shares;
         let places = offered.into_iter();
         places
-            .map(|(hall, work)| (hall, shares.time_after(hall, work, &self.weights)))
+            .map(|(hall, work)| (hall, shares.virtual_time_after(hall, work, &self.weights)))
             .collect()
     }
 
@@ -57,7 +57,7 @@
         }
         let waiting = self.owners.values().filter(|owner| is_waiting(owner));
         self.hall_shares
-            .note_waiting(waiting.map(|owner| &owner.hall));
+            .record_waiting(waiting.map(|owner| &owner.hall));
     }
 
     /// The lowest turn among the waiting entries with which an entry takes turns.
@@ -89,7 +89,7 @@
         let waiting: BTreeSet<&Hall> = waiting.map(|owner| &owner.hall).collect();
         let waiting: Vec<&Hall> = waiting.into_iter().collect();
         self.hall_totals
-            .note_started(&hall, work, &waiting, &weights);
+            .record_started(&hall, work, &waiting, &weights);
         work
     }
 
@@ -111,7 +111,7 @@
         let weights = Arc::clone(&self.weights);
         match used > charged {
             true => self.hall_shares.charge(&hall, used - charged, &weights),
-            false => self.hall_shares.give_back(&hall, charged - used, &weights),
+            false => self.hall_shares.refund(&hall, charged - used, &weights),
         }
     }
 
--- a/crates/mastknot_core/src/agent/target_agent.rs
+++ b/crates/mastknot_core/src/agent/target_agent.rs
@@ -205,7 +205,7 @@
                 run,
                 is_acknowledged,
             } => self.stop_answered(now, run, is_acknowledged),
-            AgentEvent::Looked { number, result } => self.looked(now, number, result),
+            AgentEvent::Probed { number, result } => self.looked(now, number, result),
             AgentEvent::EntriesFound(entries) => self.learn_entries(entries),
             AgentEvent::Tick => {}
             AgentEvent::Stop => self.is_stopping = true,
@@ -322,7 +322,7 @@
     }
 
     /// What is free for new runs now.
-    pub fn free(&self) -> Capacity {
+    pub fn free_capacity(&self) -> Capacity {
         let Some(profile) = &self.link.profile else {
             return Capacity::default();
         };
--- a/crates/mastknot_core/src/agent/target_condition.rs
+++ b/crates/mastknot_core/src/agent/target_condition.rs
@@ -23,7 +23,7 @@
         }
         self.condition = condition;
         let target = self.target_id();
-        self.decided(AgentDecision::Condition { target, condition });
+        self.decided(AgentDecision::ConditionChanged { target, condition });
     }
 
     /// A target gets warm by itself; what its pace was until then says nothing of the time after.
--- a/crates/mastknot_core/src/agent/target_health.rs
+++ b/crates/mastknot_core/src/agent/target_health.rs
@@ -26,18 +26,18 @@
 
 impl TargetHealth {
     /// A run was done.
-    pub fn note_done(&mut self) {
+    pub fn record_done(&mut self) {
         self.failures = 0;
         self.pauses = 0;
     }
 
     /// A run failed; returns whether the target is to blame.
-    pub fn note_failed(&mut self, now: Moment) -> bool {
+    pub fn record_failed(&mut self, now: Moment) -> bool {
         self.add_failures(1, now)
     }
 
     /// A run stood still.
-    pub fn note_stalled(&mut self, now: Moment) {
+    pub fn record_stalled(&mut self, now: Moment) {
         self.add_failures(STALL_WEIGHT, now);
     }
 
--- a/crates/mastknot_core/src/agent/target_reports.rs
+++ b/crates/mastknot_core/src/agent/target_reports.rs
@@ -135,7 +135,7 @@
             // The look that is under way may wait for long.
             self.look = None;
             self.look_not_before = now;
-            self.decided(AgentDecision::OtherLife { target });
+            self.decided(AgentDecision::OtherIncarnation { target });
             return;
         }
         if !self.lives.take_number(report.number) {
@@ -156,7 +156,7 @@
         self.link.has_reported = true;
         if is_news {
             let profile = profile.clone();
-            self.effects.push(AgentEffect::TargetKnown(profile));
+            self.effects.push(AgentEffect::StoreProfile(profile));
         }
         self.link.profile = Some(profile);
         self.link.is_draining = report.is_draining;
--- a/crates/mastknot_core/tests/agent.rs
+++ b/crates/mastknot_core/tests/agent.rs
@@ -6,7 +6,7 @@
 
 use common::side::*;
 use mastknot_core::agent::{
-    AgentEffect, AgentEvent, AgentSettings, HowEnded, LookFailure, OrderOutcome, TargetAgent,
+    AgentEffect, AgentEvent, AgentSettings, FinishReason, OrderOutcome, ProbeFailure, TargetAgent,
     TargetFinished, TargetView,
 };
 use mastknot_core::job::{EndOfRun, EntryOrder, LeaseTerms, NotRunCause, TargetCondition};
@@ -35,7 +35,7 @@
     let effects = side.order(1_002, ENTRY, start(2, 2_500));
     assert_eq!(ordered(&effects), []);
     assert_eq!(ends(&effects), [EndOfRun::NotRun(NotRunCause::NoRoom)]);
-    assert_eq!(side.agent.free().cpu_millis, 1_500);
+    assert_eq!(side.agent.free_capacity().cpu_millis, 1_500);
 }
 
 #[test]
@@ -123,12 +123,12 @@
     let number = look_number(&effects).expect("a look");
     let view = TargetView {
         clock_ms: 2_054,
-        born_ms: 0,
+        started_at_ms: 0,
         ..TargetView::default()
     };
     let effects = side.step(
         1_054,
-        AgentEvent::Looked {
+        AgentEvent::Probed {
             number,
             result: Ok(view),
         },
@@ -155,7 +155,7 @@
     let finished = (1..=3).map(|number| TargetFinished {
         number,
         run: run(number),
-        how: HowEnded::Failed,
+        reason: FinishReason::Failed,
     });
     let effects = side.answer_look(1_010, &effects, 2_009, finished.collect());
     let is_target_suspect = true;
@@ -171,7 +171,7 @@
     side.step(1_070, AgentEvent::Tick);
     assert_eq!(side.agent.condition(), TargetCondition::Probation);
     side.order(1_071, ENTRY, start(4, 500));
-    assert_eq!(side.agent.free().cpu_millis, 0, "one at a time");
+    assert_eq!(side.agent.free_capacity().cpu_millis, 0, "one at a time");
     let next = side.agent.next_tick().expect("leases and reports are due");
     assert!(next > at(1_071), "{next:?}");
 }
@@ -181,8 +181,8 @@
     let mut dead = Side::ready();
     let effects = dead.order(1_001, ENTRY, start(1, 1_000));
     let number = look_number(&effects).expect("a look");
-    let result = Err(LookFailure::Refused);
-    let effects = dead.step(1_010, AgentEvent::Looked { number, result });
+    let result = Err(ProbeFailure::Refused);
+    let effects = dead.step(1_010, AgentEvent::Probed { number, result });
     assert_eq!(ends(&effects), [EndOfRun::Crashed]);
 
     let mut silent = Side::ready();
@@ -190,8 +190,8 @@
     let mut over_at = None;
     for ms in (1_101..2_000).step_by(10) {
         if let Some(number) = look_number(&effects) {
-            let result = Err(LookFailure::Silent);
-            effects = silent.step(ms, AgentEvent::Looked { number, result });
+            let result = Err(ProbeFailure::Silent);
+            effects = silent.step(ms, AgentEvent::Probed { number, result });
         } else {
             effects = silent.step(ms, AgentEvent::Tick);
         }
@@ -215,8 +215,8 @@
     let effects = side.step(1, AgentEvent::Tick);
     assert!(side.agent.target().is_some());
     let number = look_number(&effects).or(Some(1)).expect("a look");
-    let result = Err(LookFailure::OtherInstance);
-    side.step(2, AgentEvent::Looked { number, result });
+    let result = Err(ProbeFailure::OtherIncarnation);
+    side.step(2, AgentEvent::Probed { number, result });
     assert!(side.agent.target().is_none(), "another life answers");
     side.step(3, AgentEvent::TargetRemembered(profile()));
     assert!(
@@ -228,7 +228,7 @@
 fn looks(effects: &[AgentEffect]) -> usize {
     let looks = effects.iter();
     looks
-        .filter(|effect| matches!(effect, AgentEffect::Look { .. }))
+        .filter(|effect| matches!(effect, AgentEffect::Probe { .. }))
         .count()
 }
 
@@ -238,7 +238,7 @@
     assert_eq!(looks(&side.step(2_000, AgentEvent::Tick)), 0);
     let effects = side.step(2_003, AgentEvent::Tick);
     let wait = effects.iter().find_map(|effect| match effect {
-        AgentEffect::Look { wait, .. } => Some(*wait),
+        AgentEffect::Probe { wait, .. } => Some(*wait),
         _ => None,
     });
     assert_eq!(wait, Some(Duration::ZERO), "there is no end to wait for");
--- a/crates/mastknot_core/tests/answer_times.rs
+++ b/crates/mastknot_core/tests/answer_times.rs
@@ -14,7 +14,7 @@
     for job in first_job..first_job + 20 {
         let effects = side.order(now, ENTRY, start(job, 100));
         let ordered = effects.iter().find_map(|effect| match effect {
-            AgentEffect::Order { limit, .. } => Some(*limit),
+            AgentEffect::Order { timeout: limit, .. } => Some(*limit),
             _ => None,
         });
         limit = ordered.expect("an order");
@@ -41,7 +41,7 @@
     let mut side = Side::ready();
     let first = side.order(1_001, ENTRY, start(1, 100));
     let is_patient = first.iter().any(|effect| {
-        matches!(effect, AgentEffect::Order { limit, .. } if *limit == Duration::from_millis(50))
+        matches!(effect, AgentEffect::Order { timeout, .. } if *limit == Duration::from_millis(50))
     });
     assert!(is_patient, "nothing is known of its answers yet");
 }
--- a/crates/mastknot_core/tests/changing_room.rs
+++ b/crates/mastknot_core/tests/changing_room.rs
@@ -50,7 +50,7 @@
 
 fn remembered(effects: &[AgentEffect]) -> Vec<Capacity> {
     let known = effects.iter().filter_map(|effect| match effect {
-        AgentEffect::TargetKnown(profile) => Some(profile.capacity),
+        AgentEffect::StoreProfile(profile) => Some(profile.capacity),
         _ => None,
     });
     known.collect()
@@ -110,7 +110,7 @@
     let effects = side.order(1_011, ENTRY, start(1, 1_000));
     assert_eq!(ends(&effects), [NO_ROOM]);
     resize(&mut side, 1_020, room(8_000, 4_096, 2));
-    assert_eq!(side.agent.free(), room(8_000, 4_096, 2));
+    assert_eq!(side.agent.free_capacity(), room(8_000, 4_096, 2));
     assert_eq!(
         ordered(&side.order(1_021, ENTRY, start(2, 6_000))),
         [run(2)]
--- a/crates/mastknot_core/tests/common/side.rs
+++ b/crates/mastknot_core/tests/common/side.rs
@@ -142,13 +142,13 @@
         let number = look_number(effects).expect("a look is under way");
         let view = TargetView {
             clock_ms,
-            born_ms: 0,
+            started_at_ms: 0,
             running: Vec::new(),
             finished,
         };
         self.step(
             ms,
-            AgentEvent::Looked {
+            AgentEvent::Probed {
                 number,
                 result: Ok(view),
             },
@@ -158,7 +158,7 @@
 
 pub fn look_number(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
-        AgentEffect::Look { number, .. } => Some(*number),
+        AgentEffect::Probe { number, .. } => Some(*number),
         _ => None,
     })
 }
--- a/crates/mastknot_core/tests/crash_suspects.rs
+++ b/crates/mastknot_core/tests/crash_suspects.rs
@@ -7,7 +7,7 @@
 use common::entry::*;
 use common::side;
 use common::side::{ENTRY, OTHER, Side};
-use mastknot_core::agent::{AgentEffect, AgentEvent, LookFailure};
+use mastknot_core::agent::{AgentEffect, AgentEvent, ProbeFailure};
 use mastknot_core::job::{
     CrashedRun, EndOfRun, EntryOrder, FailureCause, JobAnswer, JobId, NotRunCause, RunId,
     SideReport, StartOrder, TargetCrash, TargetId, TaskKind, TaskRef,
@@ -194,8 +194,8 @@
     side.join(1_000, OTHER, "entry-2", 1);
     let effects = side.order(1_001, ENTRY, side::start(1, 1_000));
     let number = side::look_number(&effects).expect("a look is under way");
-    let result = Err(LookFailure::Refused);
-    let effects = side.step(1_011, AgentEvent::Looked { number, result });
+    let result = Err(ProbeFailure::Refused);
+    let effects = side.step(1_011, AgentEvent::Probed { number, result });
     assert_eq!(told(&effects), [(ENTRY, 0), (OTHER, 0)]);
     let third = mastknot_core::agent::SessionId(3);
     let effects = side.join(2_011, third, "entry-3", 1);
--- a/crates/mastknot_core/tests/linked_again.rs
+++ b/crates/mastknot_core/tests/linked_again.rs
@@ -8,7 +8,7 @@
 /// The hold that a look asks for.
 fn hold(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
-        AgentEffect::Look { hold_until_ms, .. } => *hold_until_ms,
+        AgentEffect::Probe { hold_until_ms, .. } => *hold_until_ms,
         _ => None,
     })
 }
@@ -24,7 +24,7 @@
         running,
         ..TargetView::default()
     });
-    side.step(ms, AgentEvent::Looked { number, result })
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 /// A run that did not stop when its lease ended was held on under the lease of the same entry's next link.
--- a/crates/mastknot_core/tests/room_grants.rs
+++ b/crates/mastknot_core/tests/room_grants.rs
@@ -6,7 +6,7 @@
 use mastknot_core::agent::{
     AgentEffect, AgentEvent, OrderOutcome, OrderRefusal, SessionId, TargetFinished,
 };
-use mastknot_core::agent::{HowEnded, TargetRunning, TargetView};
+use mastknot_core::agent::{FinishReason, TargetRunning, TargetView};
 use mastknot_core::job::{
     CapacityGrant, EndOfRun, EntryOrder, EntryUpdate, NotRunCause, RunId, SideReport, SideStatus,
     StartOrder, WaitingNeed,
@@ -210,12 +210,12 @@
     };
     let view = TargetView {
         clock_ms: 2_094,
-        born_ms: 0,
+        started_at_ms: 0,
         running: vec![running(1, 98), running(2, 49)],
         finished: Vec::new(),
     };
     let result = Ok(view);
-    let effects = side.step(1_100, AgentEvent::Looked { number, result });
+    let effects = side.step(1_100, AgentEvent::Probed { number, result });
     (side, effects)
 }
 
@@ -246,12 +246,12 @@
     let done = TargetFinished {
         number: 1,
         run: run(1),
-        how: HowEnded::Done,
+        reason: FinishReason::Done,
     };
     let number = look_number(looked).expect("a look is under way");
     let view = TargetView {
         clock_ms: ms + 994,
-        born_ms: 0,
+        started_at_ms: 0,
         running: vec![TargetRunning {
             run: run(2),
             percent: 50,
@@ -259,7 +259,7 @@
         finished: vec![done],
     };
     let result = Ok(view);
-    side.step(ms, AgentEvent::Looked { number, result })
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 #[test]
--- a/crates/mastknot_core/tests/room_offers.rs
+++ b/crates/mastknot_core/tests/room_offers.rs
@@ -75,7 +75,7 @@
 fn a_start_of_another_entry_does_not_take_what_is_kept() {
     let mut side = crowded();
     end_first_run(&mut side, 1_110);
-    let is_own = side.agent.free().cpu_millis == 2_000;
+    let is_own = side.agent.free_capacity().cpu_millis == 2_000;
     assert!(is_own, "the room is free until it is used");
     let first = side.order(1_112, OTHER, start(7, 1_000));
     let second = side.order(1_113, ENTRY, start(8, 1_000));
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -9,7 +9,7 @@
 use common::entry::{self, Entry};
 use common::side::{self, ENTRY, OTHER, Side, cpu, run, start};
 use mastknot_core::agent::{
-    AgentDecision, AgentEffect, AgentEvent, HallShares, HallTotals, HowEnded, OrderOutcome,
+    AgentDecision, AgentEffect, AgentEvent, FinishReason, HallShares, HallTotals, OrderOutcome,
     OrderRefusal, SessionId as Link, TargetFinished, TargetRunning, TargetView,
 };
 use mastknot_core::job::{
@@ -68,14 +68,14 @@
         let waiting = (0..asking.len()).filter(|place| owed(*place) >= 1.0);
         let waiting: Vec<usize> = waiting.collect();
         let halls: Vec<Hall> = asking.iter().map(|asking| asking.hall.into()).collect();
-        let time = |place: &usize| shares.time_of(&halls[*place]);
+        let time = |place: &usize| shares.virtual_time(&halls[*place]);
         let first = waiting.iter().copied().min_by_key(time);
         let fitting = waiting.iter().copied();
         let fitting = fitting.filter(|place| piece % asking[*place].each == 0);
         let Some(next) = fitting.min_by_key(time) else {
             continue;
         };
-        shares.note_waiting(waiting.iter().map(|place| &halls[*place]));
+        shares.record_waiting(waiting.iter().map(|place| &halls[*place]));
         got[next] += 1;
         if first == Some(next) || lent == Lent::Charged {
             shares.charge(&halls[next], PIECE, weights);
@@ -139,8 +139,8 @@
 fn pieces_in_a_row(shares: &mut HallShares, hall: &Hall, other: &Hall) -> u64 {
     let even = ShareWeights::default();
     let mut pieces = 0;
-    while shares.time_of(hall) <= shares.time_of(other) {
-        shares.note_waiting([hall, other].into_iter());
+    while shares.virtual_time(hall) <= shares.virtual_time(other) {
+        shares.record_waiting([hall, other].into_iter());
         shares.charge(hall, PIECE, &even);
         pieces += 1;
     }
@@ -152,10 +152,10 @@
     let (busy, idle) = (Hall::from("busy"), Hall::from("idle"));
     let mut shares = HallShares::default();
     for _ in 0..10_000 {
-        shares.note_waiting([&busy].into_iter());
+        shares.record_waiting([&busy].into_iter());
         shares.charge(&busy, PIECE, &ShareWeights::default());
     }
-    assert!(shares.time_of(&idle) < shares.time_of(&busy));
+    assert!(shares.virtual_time(&idle) < shares.virtual_time(&busy));
     let pieces = pieces_in_a_row(&mut shares, &idle, &busy);
     assert!(pieces <= 2, "it has not saved up: {pieces} in a row");
 }
@@ -191,12 +191,12 @@
     let even = ShareWeights::default();
     let mut shares = HallShares::default();
     for _ in 0..100 {
-        shares.note_waiting([&hall, &other].into_iter());
+        shares.record_waiting([&hall, &other].into_iter());
         shares.charge(&hall, PIECE, &even);
-        shares.give_back(&hall, PIECE, &even);
+        shares.refund(&hall, PIECE, &even);
     }
-    assert_eq!(shares.time_of(&hall), shares.time_of(&other));
-    assert_eq!(shares.halls_kept(), 0);
+    assert_eq!(shares.virtual_time(&hall), shares.virtual_time(&other));
+    assert_eq!(shares.tracked_halls(), 0);
 }
 
 #[test]
@@ -207,10 +207,10 @@
     for place in 0..10_000 {
         let hall = Hall::from(format!("hall-{place}"));
         shares.charge(&hall, PIECE, &even);
-        totals.note_started(&hall, PIECE, &[&hall], &even);
+        totals.record_started(&hall, PIECE, &[&hall], &even);
     }
-    assert!(shares.halls_kept() <= HallShares::MOST_HALLS);
-    assert!(totals.halls().len() <= HallShares::MOST_HALLS);
+    assert!(shares.tracked_halls() <= HallShares::MAX_HALLS);
+    assert!(totals.halls().len() <= HallShares::MAX_HALLS);
 }
 
 #[test]
@@ -220,8 +220,8 @@
     let mut give = |weights: &ShareWeights| {
         let mut got = [0_u64; 2];
         for _ in 0..1_000 {
-            shares.note_waiting(halls.iter());
-            let next = usize::from(shares.time_of(&halls[1]) < shares.time_of(&halls[0]));
+            shares.record_waiting(halls.iter());
+            let next = usize::from(shares.virtual_time(&halls[1]) < shares.virtual_time(&halls[0]));
             shares.charge(&halls[next], PIECE, weights);
             got[next] += 1;
         }
@@ -237,9 +237,9 @@
     let (a, b) = (Hall::from("a"), Hall::from("b"));
     let weights = weights(1, &[("a", 300)]);
     let mut totals = HallTotals::default();
-    totals.note_started(&a, 1_000, &[], &weights);
-    totals.note_started(&a, 1_000, &[&a], &weights);
-    totals.note_started(&b, 1_000, &[&a, &b], &weights);
+    totals.record_started(&a, 1_000, &[], &weights);
+    totals.record_started(&a, 1_000, &[&a], &weights);
+    totals.record_started(&b, 1_000, &[&a, &b], &weights);
     let (a, b) = (totals.halls()[&a], totals.halls()[&b]);
     assert_eq!((a.due, a.had), (1_750, 1_000));
     assert_eq!((b.due, b.had), (250, 1_000));
@@ -396,7 +396,7 @@
         let finished = vec![TargetFinished {
             number: self.ends,
             run: self.running.remove(0),
-            how: HowEnded::Done,
+            reason: FinishReason::Done,
         }];
         let running = self.running.iter();
         let running = running.map(|run| TargetRunning {
@@ -405,13 +405,13 @@
         });
         let view = TargetView {
             clock_ms: self.clock_ms(),
-            born_ms: 0,
+            started_at_ms: 0,
             running: running.collect(),
             finished,
         };
         let number = self.look;
         let result = Ok(view);
-        self.step(AgentEvent::Looked { number, result })
+        self.step(AgentEvent::Probed { number, result })
     }
 
     /// Lets runs end, and each entry use what it is offered; returns how often each hall and each entry was offered
@@ -527,7 +527,7 @@
     let mut side = Side::ready();
     let news = telling(true, ShareWeights::default());
     side.order(1_010, ENTRY, heartbeat(0, 0, Some(news)));
-    let time = |side: &Side| side.agent.hall_shares().time_of(&Hall::from("hall"));
+    let time = |side: &Side| side.agent.hall_shares().virtual_time(&Hall::from("hall"));
     let before = time(&side);
     side.order(1_011, ENTRY, start(1, 2_000));
     assert!(time(&side) > before);
@@ -545,10 +545,10 @@
         let mut crowd = Crowd::empty(&telling(true, ShareWeights::default()));
         let hall = Hall::from("hall");
         crowd.start(ENTRY);
-        let guessed = crowd.side.agent.hall_shares().time_of(&hall);
+        let guessed = crowd.side.agent.hall_shares().virtual_time(&hall);
         crowd.now += after_ms;
         crowd.end_oldest();
-        let took = crowd.side.agent.hall_shares().time_of(&hall);
+        let took = crowd.side.agent.hall_shares().virtual_time(&hall);
         assert_eq!(
             took < guessed,
             is_cheaper,
--- a/crates/mastknot_core/tests/side_learning.rs
+++ b/crates/mastknot_core/tests/side_learning.rs
@@ -58,7 +58,7 @@
     assert_eq!(asked(&side.order(1_010, ENTRY, telling(&list))), [ENTRY]);
     assert_eq!(asked(&side.order(1_011, OTHER, telling(&list))), []);
     let effects = side.order(1_020, ENTRY, EntryOrder::Entries(list.clone()));
-    assert!(effects.contains(&AgentEffect::Entries(list.clone())));
+    assert!(effects.contains(&AgentEffect::DialEntries(list.clone())));
     assert_eq!(asked(&side.order(1_021, THIRD, telling(&list))), []);
 }
 
--- a/crates/mastknot_core/tests/target_crashes.rs
+++ b/crates/mastknot_core/tests/target_crashes.rs
@@ -4,7 +4,7 @@
 
 use common::side::*;
 use mastknot_core::agent::{
-    AgentDecision, AgentEffect, AgentEvent, LookFailure, OrderOutcome, TargetReport,
+    AgentDecision, AgentEffect, AgentEvent, OrderOutcome, ProbeFailure, TargetReport,
 };
 use mastknot_core::job::{CrashedRun, EndOfRun, TargetCrash, TargetId, TaskKind};
 
@@ -26,9 +26,9 @@
     }
 }
 
-fn looked(side: &mut Side, ms: u64, number: u64, failure: LookFailure) -> Vec<AgentEffect> {
+fn looked(side: &mut Side, ms: u64, number: u64, failure: ProbeFailure) -> Vec<AgentEffect> {
     let result = Err(failure);
-    side.step(ms, AgentEvent::Looked { number, result })
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 /// The target answers that it has started a job's run.
@@ -53,7 +53,7 @@
 #[test]
 fn a_crash_names_what_ran_there_the_youngest_first() {
     let (mut side, number) = busy();
-    let effects = looked(&mut side, 1_041, number, LookFailure::Refused);
+    let effects = looked(&mut side, 1_041, number, ProbeFailure::Refused);
     assert_eq!(ends(&effects), [EndOfRun::Crashed, EndOfRun::Crashed]);
     let crash = TargetCrash {
         target: TargetId::named("target-1"),
@@ -67,7 +67,7 @@
 #[test]
 fn a_life_in_place_of_the_known_one_says_that_it_crashed() {
     let (mut side, number) = busy();
-    let effects = looked(&mut side, 1_041, number, LookFailure::OtherInstance);
+    let effects = looked(&mut side, 1_041, number, ProbeFailure::OtherIncarnation);
     assert_eq!(ends(&effects), [EndOfRun::Crashed, EndOfRun::Crashed]);
     assert_eq!(crashes(&effects).len(), 1);
 }
@@ -86,13 +86,13 @@
         let effects = match is_refused_first {
             true => side.step(1_041, refused),
             false => {
-                let effects = looked(&mut side, 1_041, number, LookFailure::Silent);
+                let effects = looked(&mut side, 1_041, number, ProbeFailure::Silent);
                 side.step(1_041, refused);
                 effects
             }
         };
         let number = look_number(&effects).expect("the target is looked at again at once");
-        let effects = looked(&mut side, 1_042, number, LookFailure::Refused);
+        let effects = looked(&mut side, 1_042, number, ProbeFailure::Refused);
         let crash = crashes(&effects).pop().expect("the target has crashed");
         assert!(!crash.was_silent, "refused first: {is_refused_first}");
         assert_eq!(crash.runs, [crashed(2, 10), crashed(1, 40)]);
@@ -110,7 +110,7 @@
     };
     let effects = side.step(1_133, refused);
     let number = look_number(&effects).expect("the target is looked at again at once");
-    let effects = looked(&mut side, 1_134, number, LookFailure::Refused);
+    let effects = looked(&mut side, 1_134, number, ProbeFailure::Refused);
     let crash = crashes(&effects).pop().expect("the target has crashed");
     assert!(crash.was_silent);
     assert_eq!(crash.runs, [crashed(2, 1), crashed(1, 31)]);
@@ -130,7 +130,7 @@
         ..report("target-1", 2)
     };
     draining.step(1_035, AgentEvent::TargetReported(leaving));
-    let effects = looked(&mut draining, 1_041, number, LookFailure::Refused);
+    let effects = looked(&mut draining, 1_041, number, ProbeFailure::Refused);
     assert_eq!(ends(&effects), [EndOfRun::Lost, EndOfRun::Lost]);
     assert_eq!(crashes(&effects), [], "its last word was lost");
 }
@@ -140,7 +140,7 @@
     let mut number = Some(first_look);
     for ms in (1_101..2_500).step_by(10) {
         let effects = match number.take() {
-            Some(number) => looked(side, ms, number, LookFailure::Silent),
+            Some(number) => looked(side, ms, number, ProbeFailure::Silent),
             None => side.step(ms, AgentEvent::Tick),
         };
         number = look_number(&effects);
@@ -163,7 +163,7 @@
             break;
         }
         effects = match look_number(&effects) {
-            Some(number) => looked(&mut side, ms + later * 10, number, LookFailure::Refused),
+            Some(number) => looked(&mut side, ms + later * 10, number, ProbeFailure::Refused),
             None => side.step(ms + later * 10, AgentEvent::Tick),
         };
         seen = crashes(&effects);
@@ -190,7 +190,7 @@
     side.join(ms + 1_001, ENTRY, "entry-1", 1);
     let effects = side.order(ms + 1_002, ENTRY, start(3, 1_000));
     let number = look_number(&effects).expect("a look is under way");
-    let effects = looked(&mut side, ms + 1_012, number, LookFailure::Refused);
+    let effects = looked(&mut side, ms + 1_012, number, ProbeFailure::Refused);
     let jobs = crashes(&effects).into_iter().flat_map(|crash| crash.runs);
     let jobs: Vec<u64> = jobs.map(|row| row.run.task.job.0).collect();
     assert_eq!(jobs, [3], "what the silence cost is no part of the crash");
--- a/crates/mastknot_core/tests/target_lives.rs
+++ b/crates/mastknot_core/tests/target_lives.rs
@@ -4,7 +4,7 @@
 
 use common::side::*;
 use mastknot_core::agent::{
-    AgentEffect, AgentEvent, LookFailure, TargetReport, TargetRunning, TargetView,
+    AgentEffect, AgentEvent, ProbeFailure, TargetReport, TargetRunning, TargetView,
 };
 use mastknot_core::job::{EndOfRun, TargetCondition};
 use rand::SeedableRng;
@@ -29,18 +29,18 @@
     });
     let result = Ok(TargetView {
         clock_ms: 1_000 + ms,
-        born_ms: 0,
+        started_at_ms: 0,
         running: running.collect(),
         finished: Vec::new(),
     });
-    side.step(ms, AgentEvent::Looked { number, result })
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 /// Answers the look under way: another life is there.
 fn over(side: &mut Side, ms: u64, effects: &[AgentEffect]) -> Vec<AgentEffect> {
     let number = look_number(effects).expect("a look is under way");
-    let result = Err(LookFailure::OtherInstance);
-    side.step(ms, AgentEvent::Looked { number, result })
+    let result = Err(ProbeFailure::OtherIncarnation);
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 /// The known life ends at 1,000 ms and another one is there, whose clock is read.
@@ -97,8 +97,8 @@
             effects = side.step(ms, AgentEvent::Tick);
             continue;
         };
-        let result = Err(LookFailure::Silent);
-        effects = side.step(ms, AgentEvent::Looked { number, result });
+        let result = Err(ProbeFailure::Silent);
+        effects = side.step(ms, AgentEvent::Probed { number, result });
     }
     assert_eq!(target_name(&side), "target-2");
 }
@@ -109,8 +109,8 @@
     let mut side = Side::ready();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
     let number = look_number(&effects).expect("a look is under way");
-    let result = Err(LookFailure::Refused);
-    side.step(1_010, AgentEvent::Looked { number, result });
+    let result = Err(ProbeFailure::Refused);
+    side.step(1_010, AgentEvent::Probed { number, result });
     assert!(side.agent.target().is_none());
     side.step(1_500, reported(report("target-1", 7)));
     assert_eq!(target_name(&side), "target-1");
--- a/crates/mastknot_core/tests/target_pace.rs
+++ b/crates/mastknot_core/tests/target_pace.rs
@@ -34,7 +34,7 @@
     );
     let view = TargetView {
         clock_ms: 2_061,
-        born_ms: 0,
+        started_at_ms: 0,
         running: vec![TargetRunning {
             run: run(1),
             percent,
@@ -43,7 +43,7 @@
     };
     let number = look_number(&started).expect("a look is under way");
     let result = Ok(view);
-    let mut effects = side.step(1_061, AgentEvent::Looked { number, result });
+    let mut effects = side.step(1_061, AgentEvent::Probed { number, result });
     effects.extend(side.step(1_150, AgentEvent::Tick));
     told_pace(&effects).expect("a report is due")
 }
--- a/crates/mastknot_core/tests/target_rebirths.rs
+++ b/crates/mastknot_core/tests/target_rebirths.rs
@@ -4,8 +4,8 @@
 
 use common::side::*;
 use mastknot_core::agent::{
-    AgentEffect, AgentEvent, HowEnded, LookFailure, OrderOutcome, OrderRefusal, TargetFinished,
-    TargetReport, TargetRunning, TargetView,
+    AgentEffect, AgentEvent, FinishReason, OrderOutcome, OrderRefusal, ProbeFailure,
+    TargetFinished, TargetReport, TargetRunning, TargetView,
 };
 use mastknot_core::job::{EndOfRun, TargetCondition, TargetId};
 
@@ -27,7 +27,7 @@
     });
     TargetView {
         clock_ms,
-        born_ms,
+        started_at_ms: born_ms,
         running: running.collect(),
         finished: Vec::new(),
     }
@@ -37,7 +37,7 @@
 fn answer(side: &mut Side, ms: u64, effects: &[AgentEffect], view: TargetView) -> Vec<AgentEffect> {
     let number = look_number(effects).expect("a look is under way");
     let result = Ok(view);
-    side.step(ms, AgentEvent::Looked { number, result })
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 /// A side that knows the first life, whose clock is far ahead of what a new one shows, linked to one entry at 1,000 ms.
@@ -59,14 +59,14 @@
 
 fn look_token(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
-        AgentEffect::Look { token, .. } => Some(*token),
+        AgentEffect::Probe { token, .. } => Some(*token),
         _ => None,
     })
 }
 
 fn last_seen(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
-        AgentEffect::Look { last_seen, .. } => Some(*last_seen),
+        AgentEffect::Probe { last_seen, .. } => Some(*last_seen),
         _ => None,
     })
 }
@@ -99,7 +99,7 @@
     shrunk.profile.capacity.cpu_millis = 1_000;
     side.step(200, AgentEvent::TargetReported(shrunk.clone()));
     assert_eq!(side.agent.target(), Some(&shrunk.profile));
-    assert_eq!(side.agent.free().cpu_millis, 1_000);
+    assert_eq!(side.agent.free_capacity().cpu_millis, 1_000);
     let effects = side.step(400, reported(SECOND, 1));
     assert!(look_number(&effects).is_some(), "another life is asked for");
     assert_eq!(side.agent.target(), Some(&shrunk.profile));
@@ -128,7 +128,7 @@
     let finished = vec![TargetFinished {
         number: 57,
         run: run(1),
-        how: HowEnded::Done,
+        reason: FinishReason::Done,
     }];
     let done = TargetView {
         finished,
@@ -214,8 +214,8 @@
         }
         let clock_ms = 1_000 + ms;
         let number = look_number(&effects).expect("a look is under way");
-        let result = Err(LookFailure::Fenced { clock_ms });
-        effects = side.step(ms, AgentEvent::Looked { number, result });
+        let result = Err(ProbeFailure::Fenced { clock_ms });
+        effects = side.step(ms, AgentEvent::Probed { number, result });
     }
     panic!("the fence still stands");
 }
@@ -342,8 +342,8 @@
     let number = look_number(&effects).expect("a look is under way");
     side.order(1_010, ENTRY, start(2, 1_000));
     started(&mut side, 1_011, 2, OLD_CLOCK_MS + 1_008);
-    let result = Err(LookFailure::Refused);
-    let effects = side.step(1_012, AgentEvent::Looked { number, result });
+    let result = Err(ProbeFailure::Refused);
+    let effects = side.step(1_012, AgentEvent::Probed { number, result });
     assert_eq!(ends(&effects), [EndOfRun::Crashed]);
     assert_eq!(stopped(&effects), [run(2)]);
     let over = 1_012 + 1_031;
--- a/crates/mastknot_core/tests/unanswered_stops.rs
+++ b/crates/mastknot_core/tests/unanswered_stops.rs
@@ -45,7 +45,7 @@
         running: running.collect(),
         ..TargetView::default()
     });
-    side.step(ms, AgentEvent::Looked { number, result })
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 #[test]
--- a/crates/mastknot_core/tests/wrong_memory.rs
+++ b/crates/mastknot_core/tests/wrong_memory.rs
@@ -4,7 +4,7 @@
 
 use common::side::*;
 use mastknot_core::agent::{
-    AgentEffect, AgentEvent, LookFailure, SessionId, TargetRunning, TargetView,
+    AgentEffect, AgentEvent, ProbeFailure, SessionId, TargetRunning, TargetView,
 };
 use mastknot_core::job::{
     AdoptedRun, EntryOrder, EntryUpdate, EntryWelcome, RunId, SideReport, TargetId, TargetProfile,
@@ -16,14 +16,14 @@
     let number = look_number(effects).expect("a look is under way");
     let result = Ok(TargetView {
         clock_ms: 1_000 + ms,
-        born_ms,
+        started_at_ms: born_ms,
         running: vec![TargetRunning {
             run: run(1),
             percent: (ms % 50) as u8,
         }],
         finished: Vec::new(),
     });
-    side.step(ms, AgentEvent::Looked { number, result })
+    side.step(ms, AgentEvent::Probed { number, result })
 }
 
 fn remembering(target: TargetId) -> EntryOrder {
@@ -77,8 +77,8 @@
     let adopted = side.order(6, ENTRY, adopt());
     let effects = listing(&mut side, 7, &[effects, welcomed, adopted].concat(), 0);
     let number = look_number(&effects).expect("a look that names the remembered life");
-    let result = Err(LookFailure::OtherInstance);
-    let effects = side.step(8, AgentEvent::Looked { number, result });
+    let result = Err(ProbeFailure::OtherIncarnation);
+    let effects = side.step(8, AgentEvent::Probed { number, result });
     assert_eq!(ends(&effects), []);
     assert!(side.agent.runs().get(&run(1)).is_some());
     let effects = listing(&mut side, 9, &effects, 0);
--- a/crates/mastknot_side/src/agent/agent_actor.rs
+++ b/crates/mastknot_side/src/agent/agent_actor.rs
@@ -215,7 +215,7 @@
         let is_ready = core.condition() == TargetCondition::Ready;
         AgentReport {
             runs: core.runs().len(),
-            free_cpu_millis: core.free().cpu_millis,
+            free_cpu_millis: core.free_capacity().cpu_millis,
             capacity_cpu_millis: core
                 .target()
                 .map_or(Capacity::default(), |t| t.capacity)
@@ -250,7 +250,7 @@
                 hold_until_ms,
                 token,
                 target,
-                limit,
+                timeout: limit,
             } => self.order(StartCall {
                 run,
                 payload,
@@ -259,15 +259,19 @@
                 target,
                 limit,
             }),
-            AgentEffect::StopRun { run, token, limit } => self.stop(StopCall { run, token, limit }),
-            AgentEffect::Look {
+            AgentEffect::StopRun {
+                run,
+                token,
+                timeout: limit,
+            } => self.stop(StopCall { run, token, limit }),
+            AgentEffect::Probe {
                 number,
                 hold_until_ms,
                 token,
                 last_seen,
                 wait,
                 target,
-                limit,
+                timeout: limit,
             } => self.look(
                 number,
                 LookCall {
@@ -279,8 +283,8 @@
                     limit,
                 },
             ),
-            AgentEffect::Entries(entries) => self.dial_all(&entries),
-            AgentEffect::TargetKnown(profile) => {
+            AgentEffect::DialEntries(entries) => self.dial_all(&entries),
+            AgentEffect::StoreProfile(profile) => {
                 self.parts.profiles.send_replace(Some(profile));
             }
             AgentEffect::Decided(decision) => {
@@ -333,7 +337,7 @@
         let me = self.me.clone();
         tokio::spawn(async move {
             let result = port.look(call).await;
-            let event = AgentEvent::Looked { number, result };
+            let event = AgentEvent::Probed { number, result };
             let _ = me.tell(AgentInput(event)).await;
         });
     }
--- a/crates/mastknot_side/src/agent/agent_logs.rs
+++ b/crates/mastknot_side/src/agent/agent_logs.rs
@@ -20,7 +20,7 @@
         AgentDecision::Stopping { run, end, percent } => {
             info!(target: DECISION, run:%, end:?, percent; "stopping");
         }
-        AgentDecision::Unconfirmed { run } => {
+        AgentDecision::OrderUnanswered { run } => {
             warn!(target: DECISION, run:%; "order_unanswered");
         }
         AgentDecision::StopUnanswered {
@@ -40,7 +40,7 @@
         AgentDecision::ClaimWaits { job, entry, holder } => {
             info!(target: DECISION, job:%, entry:%, holder:%; "claim_waits");
         }
-        AgentDecision::ClaimsTaken { early_claims } => {
+        AgentDecision::ClaimGraceEnded { early_claims } => {
             info!(target: DECISION, early_claims; "claims_taken")
         }
         AgentDecision::EntryJoined { entry } => info!(target: DECISION, entry:%; "entry_joined"),
@@ -66,7 +66,7 @@
         AgentDecision::QueuedStartServed { run, waited_ms } => {
             debug!(target: DECISION, run:%, waited_ms; "queued_start_served");
         }
-        AgentDecision::Condition { target, condition } => {
+        AgentDecision::ConditionChanged { target, condition } => {
             let target_id = target.as_ref().map(TargetId::to_string).unwrap_or_default();
             info!(target: DECISION, target_id, condition:?; "target_condition");
         }
@@ -79,7 +79,7 @@
             info!(target: DECISION, revision, halls; "share_weights");
         }
         AgentDecision::TargetCrashed(crash) => log_crash(crash),
-        AgentDecision::Token { token, survivors } => {
+        AgentDecision::TokenTaken { token, survivors } => {
             info!(target: DECISION, token, survivors; "fencing_token");
         }
         AgentDecision::LateReport { target } => {
@@ -88,13 +88,13 @@
         AgentDecision::WrongProfile { target } => {
             warn!(target: DECISION, target_id:% = target; "wrong_target_profile");
         }
-        AgentDecision::OtherLife { target } => {
+        AgentDecision::OtherIncarnation { target } => {
             info!(target: DECISION, target_id:% = target; "other_target_life");
         }
-        AgentDecision::Reborn { target, stopped } => {
+        AgentDecision::TargetRestarted { target, stopped } => {
             warn!(target: DECISION, target_id:% = target, stopped; "target_reborn");
         }
-        AgentDecision::LookFailed { in_a_row } => {
+        AgentDecision::ProbeFailed { in_a_row } => {
             warn!(target: DECISION, in_a_row; "look_failed");
         }
     }
--- a/crates/mastknot_side/src/agent/target_port.rs
+++ b/crates/mastknot_side/src/agent/target_port.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mastknot_core::agent::{LookFailure, OrderOutcome, TargetView};
+use mastknot_core::agent::{OrderOutcome, ProbeFailure, TargetView};
 use mastknot_core::job::{RunId, TargetId};
 
 /// An order to start a run.
@@ -59,5 +59,6 @@
     fn stop(&self, call: StopCall) -> impl Future<Output = bool> + Send;
 
     /// Looks at what runs and what has ended.
-    fn look(&self, call: LookCall) -> impl Future<Output = Result<TargetView, LookFailure>> + Send;
+    fn look(&self, call: LookCall)
+    -> impl Future<Output = Result<TargetView, ProbeFailure>> + Send;
 }
--- a/crates/mastknot_side/tests/target_memory.rs
+++ b/crates/mastknot_side/tests/target_memory.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use mastknot_core::agent::{AgentSettings, LookFailure, OrderOutcome, TargetView};
+use mastknot_core::agent::{AgentSettings, OrderOutcome, ProbeFailure, TargetView};
 use mastknot_core::job::{Capacity, TargetId, TargetProfile};
 use mastknot_runtime::{
     Clock, KnownRevision, SharedChanges, SharedCheck, SharedItem, SharedLease, SharedList,
@@ -102,11 +102,11 @@
         false
     }
 
-    async fn look(&self, call: LookCall) -> Result<TargetView, LookFailure> {
+    async fn look(&self, call: LookCall) -> Result<TargetView, ProbeFailure> {
         if call.target.is_some() {
             self.0.send_replace(call.target);
         }
-        Err(LookFailure::Silent)
+        Err(ProbeFailure::Silent)
     }
 }
 
--- a/crates/mastknot_virtual/src/jobs/act.rs
+++ b/crates/mastknot_virtual/src/jobs/act.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use mastknot_core::agent::{AgentEvent, LookFailure, SessionId, TargetView};
+use mastknot_core::agent::{AgentEvent, ProbeFailure, SessionId, TargetView};
 use mastknot_core::job::{ConfigDocument, EntryOrder, JobId, RunId, SideReport};
 use mastknot_core::scheduler::{CallerId, SchedulerEvent};
 use mastknot_core::types::Hall;
@@ -80,7 +80,7 @@
         side: usize,
         lives: u64,
         open: Box<OpenLook>,
-        result: Result<TargetView, LookFailure>,
+        result: Result<TargetView, ProbeFailure>,
     },
     TargetDue {
         side: usize,
--- a/crates/mastknot_virtual/src/jobs/bad_tasks.rs
+++ b/crates/mastknot_virtual/src/jobs/bad_tasks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mastknot_core::agent::{AgentEvent, LookFailure};
+use mastknot_core::agent::{AgentEvent, ProbeFailure};
 use mastknot_core::job::{JobId, RunId, TaskRef};
 
 use super::TargetMood;
@@ -104,9 +104,9 @@
         let Some(open) = self.targets[side].open_look.take() else {
             return;
         };
-        let event = AgentEvent::Looked {
+        let event = AgentEvent::Probed {
             number: open.number,
-            result: Err(LookFailure::Silent),
+            result: Err(ProbeFailure::Silent),
         };
         self.side_input(TARGET_DELAY, side, open.life, event);
     }
--- a/crates/mastknot_virtual/src/jobs/observing.rs
+++ b/crates/mastknot_virtual/src/jobs/observing.rs
@@ -70,7 +70,7 @@
     /// The room that each side believes to be free, in thousandths of a core.
     pub fn free_cpu(&self) -> Vec<u32> {
         let sides = self.sides.iter().filter_map(|node| node.core.as_ref());
-        sides.map(|core| core.free().cpu_millis).collect()
+        sides.map(|core| core.free_capacity().cpu_millis).collect()
     }
 
     /// How often entries have kept a kind of tasks to a part of the targets.
--- a/crates/mastknot_virtual/src/jobs/processes.rs
+++ b/crates/mastknot_virtual/src/jobs/processes.rs
@@ -68,7 +68,7 @@
         let name = format!("side-{side}");
         let incarnation = Incarnation(node.life);
         let settings = AgentSettings {
-            longest_hold: self.longest_hold,
+            max_hold: self.longest_hold,
             ..AgentSettings::new(name.as_str().into(), incarnation, hall_of(side))
         };
         node.core = Some(TargetAgent::new(settings));
@@ -196,7 +196,7 @@
                 hold_until_ms,
                 token,
                 target,
-                limit,
+                timeout: limit,
                 ..
             } => {
                 let room = Capacity {
@@ -219,17 +219,21 @@
                 };
                 self.order_start(side, life, start, limit.as_micros() as u64);
             }
-            AgentEffect::StopRun { run, token, limit } => {
+            AgentEffect::StopRun {
+                run,
+                token,
+                timeout: limit,
+            } => {
                 self.order_stop(side, life, run, token, limit.as_micros() as u64);
             }
-            AgentEffect::Look {
+            AgentEffect::Probe {
                 number,
                 hold_until_ms,
                 token,
                 last_seen,
                 wait,
                 target,
-                limit,
+                timeout: limit,
             } => {
                 let look = VirtualLook {
                     hold_until_ms,
@@ -246,9 +250,9 @@
                 };
                 self.order_look(side, open, wait.as_micros() as u64);
             }
-            AgentEffect::TargetKnown(profile) => self.remember_target(side, profile),
+            AgentEffect::StoreProfile(profile) => self.remember_target(side, profile),
             AgentEffect::Decided(AgentDecision::Unclaimed { .. }) => self.runs_unclaimed += 1,
-            AgentEffect::Entries(_) | AgentEffect::Decided(_) | AgentEffect::Drained => {}
+            AgentEffect::DialEntries(_) | AgentEffect::Decided(_) | AgentEffect::Drained => {}
         }
     }
 }
--- a/crates/mastknot_virtual/src/jobs/targets.rs
+++ b/crates/mastknot_virtual/src/jobs/targets.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mastknot_core::agent::{AgentEvent, LookFailure, OrderOutcome, TargetReport, TargetView};
+use mastknot_core::agent::{AgentEvent, OrderOutcome, ProbeFailure, TargetReport, TargetView};
 use mastknot_core::job::{Capacity, RunId, TargetId, TargetProfile};
 use rand::RngExt;
 
@@ -217,7 +217,7 @@
 
     pub(super) fn order_look(&mut self, side: usize, open: OpenLook, wait: u64) {
         let (number, life) = (open.number, open.life);
-        let looked = |failure| AgentEvent::Looked {
+        let looked = |failure| AgentEvent::Probed {
             number,
             result: Err(failure),
         };
@@ -227,11 +227,11 @@
                 self.later(TARGET_DELAY, Act::TargetLook { side, open, wait });
             }
             CallFate::Refused => {
-                self.side_input(TARGET_DELAY, side, life, looked(LookFailure::Refused));
+                self.side_input(TARGET_DELAY, side, life, looked(ProbeFailure::Refused));
             }
             CallFate::Late(_) | CallFate::Unanswered | CallFate::Lost => {
                 let limit = open.limit;
-                self.side_input(limit, side, life, looked(LookFailure::Silent));
+                self.side_input(limit, side, life, looked(ProbeFailure::Silent));
             }
         }
     }
@@ -327,7 +327,7 @@
         let (Some(open), Some(target)) = (slot.open_look.take(), &mut slot.target) else {
             return;
         };
-        let result: Result<TargetView, LookFailure> = target.look(self.now, &open.look);
+        let result: Result<TargetView, ProbeFailure> = target.look(self.now, &open.look);
         let answered = Act::LookAnswered {
             side,
             lives: slot.lives,
@@ -343,16 +343,16 @@
         side: usize,
         lives: u64,
         open: &OpenLook,
-        result: Result<TargetView, LookFailure>,
+        result: Result<TargetView, ProbeFailure>,
     ) {
         let slot = &self.targets[side];
         let has_died = slot.target.is_none() || slot.lives != lives;
         let result = match has_died && !slot.is_dark {
-            true => Err(LookFailure::Silent),
+            true => Err(ProbeFailure::Silent),
             false => result,
         };
         let number = open.number;
-        let event = AgentEvent::Looked { number, result };
+        let event = AgentEvent::Probed { number, result };
         self.side_input(0, side, open.life, event);
     }
 
@@ -397,10 +397,10 @@
         }
         if let Some(open) = open {
             let failure = match is_dark {
-                true => LookFailure::Silent,
-                false => LookFailure::Refused,
+                true => ProbeFailure::Silent,
+                false => ProbeFailure::Refused,
             };
-            let event = AgentEvent::Looked {
+            let event = AgentEvent::Probed {
                 number: open.number,
                 result: Err(failure),
             };
--- a/crates/mastknot_virtual/src/jobs/virtual_target.rs
+++ b/crates/mastknot_virtual/src/jobs/virtual_target.rs
@@ -1,7 +1,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use mastknot_core::agent::{
-    HowEnded, LookFailure, OrderOutcome, OrderRefusal, TargetFinished, TargetRunning, TargetView,
+    FinishReason, OrderOutcome, OrderRefusal, ProbeFailure, TargetFinished, TargetRunning,
+    TargetView,
 };
 use mastknot_core::job::{Capacity, RunId, TargetId, TaskRef};
 
@@ -29,7 +30,7 @@
     room: Capacity,
     started: u64,
     work: u64,
-    ends: Option<(u64, HowEnded)>,
+    ends: Option<(u64, FinishReason)>,
 }
 
 /// A fake target that keeps the contract of a worker: holds, fencing tokens, attempts, ends.
@@ -126,13 +127,13 @@
         for (run, state) in &self.runs {
             match state.ends {
                 Some((at, how)) if at <= now => ends.push((*run, how)),
-                _ if lapses => ends.push((*run, HowEnded::Lapsed)),
+                _ if lapses => ends.push((*run, FinishReason::HoldExpired)),
                 _ => {}
             }
         }
         let ended = ends.iter().map(|(run, how)| TargetEnd {
             run: *run,
-            is_done: *how == HowEnded::Done,
+            is_done: *how == FinishReason::Done,
         });
         let ended = ended.collect();
         for (run, how) in ends {
@@ -140,7 +141,11 @@
             self.fence(run);
             self.next_end += 1;
             let number = self.next_end;
-            self.finished.push(TargetFinished { number, run, how });
+            self.finished.push(TargetFinished {
+                number,
+                run,
+                reason: how,
+            });
         }
         ended
     }
@@ -175,7 +180,7 @@
             .as_ref()
             .is_some_and(|target| target.name != self.id.name)
         {
-            return refused(OrderRefusal::OtherInstance);
+            return refused(OrderRefusal::OtherIncarnation);
         }
         if order.token < self.token {
             return refused(OrderRefusal::Fenced { clock_ms });
@@ -194,7 +199,7 @@
             .copied()
             .unwrap_or_default();
         if order.run.attempt <= fence {
-            return refused(OrderRefusal::Old);
+            return refused(OrderRefusal::OldAttempt);
         }
         if guards_room && !self.capacity.without(&self.used()).covers(&order.room) {
             return refused(OrderRefusal::NoRoom);
@@ -205,10 +210,10 @@
             1
         };
         let ends = match order.task_mood.unwrap_or(self.mood) {
-            TargetMood::FailsAll => Some((now + 5_000, HowEnded::Failed)),
+            TargetMood::FailsAll => Some((now + 5_000, FinishReason::Failed)),
             TargetMood::StandsStill => None,
-            TargetMood::Slow(factor) => Some((now + order.work * factor, HowEnded::Done)),
-            _ => Some((now + order.work * factor, HowEnded::Done)),
+            TargetMood::Slow(factor) => Some((now + order.work * factor, FinishReason::Done)),
+            _ => Some((now + order.work * factor, FinishReason::Done)),
         };
         let run = TargetRun {
             room: order.room,
@@ -231,7 +236,7 @@
                 let at = now + STOP_MICROS;
                 let is_sooner = state.ends.is_none_or(|(ends, _)| ends > at);
                 if is_sooner {
-                    state.ends = Some((at, HowEnded::Stopped));
+                    state.ends = Some((at, FinishReason::Stopped));
                 }
             }
             None => self.fence(run),
@@ -240,17 +245,21 @@
     }
 
     /// What a look shows.
-    pub(super) fn look(&mut self, now: u64, look: &VirtualLook) -> Result<TargetView, LookFailure> {
+    pub(super) fn look(
+        &mut self,
+        now: u64,
+        look: &VirtualLook,
+    ) -> Result<TargetView, ProbeFailure> {
         let clock_ms = self.clock_ms(now);
         if look
             .target
             .as_ref()
             .is_some_and(|target| target.name != self.id.name)
         {
-            return Err(LookFailure::OtherInstance);
+            return Err(ProbeFailure::OtherIncarnation);
         }
         if look.token < self.token {
-            return Err(LookFailure::Fenced { clock_ms });
+            return Err(ProbeFailure::Fenced { clock_ms });
         }
         self.token = look.token;
         if let Some(until) = look.hold_until_ms {
@@ -270,7 +279,7 @@
         });
         Ok(TargetView {
             clock_ms,
-            born_ms: self.id.started_at_ms,
+            started_at_ms: self.id.started_at_ms,
             running: running.collect(),
             finished: self.finished.clone(),
         })
