--- a/crates/mastknot_core/src/scheduler/active_job.rs
+++ b/crates/mastknot_core/src/scheduler/active_job.rs
@@ -135,7 +135,7 @@
         self.tasks.iter().all(|task| task.state == TaskState::Done)
     }
 
-    pub(crate) fn waiting(&self) -> Vec<usize> {
+    pub(crate) fn waiting_tasks(&self) -> Vec<usize> {
         let tasks = self.tasks.iter().enumerate();
         let waiting = tasks.filter(|(_, task)| task.state == TaskState::Waiting);
         waiting.map(|(place, _)| place).collect()
--- a/crates/mastknot_core/src/scheduler/active_links.rs
+++ b/crates/mastknot_core/src/scheduler/active_links.rs
@@ -68,7 +68,7 @@
     fn is_room_short(&self, now: Moment) -> bool {
         let since = self.active_links.waiting_since;
         let has_waited = since.is_some_and(|since| now.since(since) >= GRANTS_COME_WITHIN);
-        has_waited || !self.is_granted_room()
+        has_waited || !self.uses_capacity_grants()
     }
 
     fn note_needed(&mut self, now: Moment) {
--- a/crates/mastknot_core/src/scheduler/admission.rs
+++ b/crates/mastknot_core/src/scheduler/admission.rs
@@ -4,7 +4,7 @@
 
 /// A job of which nothing has begun is looked at again after this: some reports have come by then, and a caller that is
 /// refused at the second look has lost less than ten milliseconds.
-pub const LOOKED_AT_EACH: Duration = Duration::from_millis(4);
+pub const REVIEW_INTERVAL: Duration = Duration::from_millis(4);
 /// The forecast's error takes this part of the wait off at most: a queue whose forecast is of no use is not held in vain,
 /// and a job without any time left is not held at all.
 const WIDEST_MARGIN: f64 = 0.5;
@@ -17,7 +17,7 @@
     /// It waits.
     Wait,
     /// The forecast denies it; the next look decides.
-    Doubt,
+    DeniedOnce,
     /// It is refused now.
     Refuse,
 }
@@ -38,7 +38,7 @@
     /// Whether this is the first look at it.
     pub is_new: bool,
     /// Whether the last look denied it.
-    pub was_doubted: bool,
+    pub was_denied_before: bool,
 }
 
 impl Admission {
@@ -52,9 +52,9 @@
         }
         let is_sure = input.is_new && input.is_beyond(input.error * SURE_AT_ONCE);
         let is_denied = input.is_beyond(input.error);
-        match (is_sure || (is_denied && input.was_doubted), is_denied) {
+        match (is_sure || (is_denied && input.was_denied_before), is_denied) {
             (true, _) => Self::Refuse,
-            (false, true) => Self::Doubt,
+            (false, true) => Self::DeniedOnce,
             (false, false) => Self::Wait,
         }
     }
--- a/crates/mastknot_core/src/scheduler/claiming.rs
+++ b/crates/mastknot_core/src/scheduler/claiming.rs
@@ -272,7 +272,7 @@
             true => self.counters.claims_conflicting += 1,
             false => self.counters.claims_awaited += u64::from(is_news),
         }
-        self.decided(SchedulerDecision::ClaimHeld {
+        self.record_decision(SchedulerDecision::ClaimHeld {
             job: id,
             request_id,
             side: side.clone(),
--- a/crates/mastknot_core/src/scheduler/contained_kinds.rs
+++ b/crates/mastknot_core/src/scheduler/contained_kinds.rs
@@ -57,7 +57,7 @@
         for kind in contained {
             self.counters.kinds_contained += 1;
             let targets = self.part_of(kind).count();
-            self.decided(SchedulerDecision::KindContained { kind, targets });
+            self.record_decision(SchedulerDecision::KindContained { kind, targets });
         }
         self.give_up_suspects(now);
         self.requeue_all(now);
@@ -105,7 +105,7 @@
         for kind in contained {
             self.counters.kinds_known += 1;
             let targets = self.part_of(kind).count();
-            self.decided(SchedulerDecision::KindKnown { kind, targets });
+            self.record_decision(SchedulerDecision::KindKnown { kind, targets });
         }
         self.requeue_all(now);
     }
@@ -122,7 +122,7 @@
         self.assign_parts();
         for kind in released {
             self.counters.kinds_released += 1;
-            self.decided(SchedulerDecision::KindReleased { kind });
+            self.record_decision(SchedulerDecision::KindReleased { kind });
         }
         self.requeue_all(now);
     }
@@ -130,7 +130,7 @@
     /// How long a task of a kind that has a part of the targets ran until its target crashed. Where there are too few
     /// targets for a part, a contained kind is treated like any other.
     pub(super) fn kept_apart(&self, kind: TaskKind) -> Option<Duration> {
-        let has_part = self.parted_kinds.contains(&kind);
+        let has_part = self.kinds_with_own_targets.contains(&kind);
         has_part.then(|| self.containment.ran(kind)).flatten()
     }
 
@@ -152,14 +152,14 @@
         let wanted: f64 = kinds.iter().map(|(_, part)| part).sum();
         let scale = (MOST_OF_TARGETS / wanted).min(1.0);
         let mut left = (linked as f64 * MOST_OF_TARGETS) as usize;
-        self.parted_kinds.clear();
+        self.kinds_with_own_targets.clear();
         for (kind, part) in kinds {
             let count = part_size(linked, part * scale).min(left);
             if count == 0 {
                 continue;
             }
             left -= count;
-            self.parted_kinds.push(kind);
+            self.kinds_with_own_targets.push(kind);
             for place in self.first_places(kind, count) {
                 self.sides[place].kept_for = Some(kind);
             }
@@ -321,7 +321,7 @@
         }
         let kept = self.sides.values().filter(|side| side.kept_for.is_some());
         let ends = kept.filter_map(|side| side.trial.map(|trial| trial.until));
-        ends.filter(|until| *until > self.handled).min()
+        ends.filter(|until| *until > self.last_event_at).min()
     }
 
     fn requeue_all(&mut self, now: Moment) {
--- a/crates/mastknot_core/src/scheduler/drained_halls.rs
+++ b/crates/mastknot_core/src/scheduler/drained_halls.rs
@@ -15,17 +15,17 @@
     /// Each linked side is told at once, on standby too: it turns starts away itself, also those of entries that are
     /// cut off from the store. What waits is looked at again in this same step.
     pub(super) fn learn_drained_halls(&mut self, now: Moment, drained: &Arc<DrainedHalls>) {
-        if !drained.is_newer_than(&self.drained) {
+        if !drained.is_newer_than(&self.drained_halls) {
             return;
         }
-        self.drained = Arc::clone(drained);
+        self.drained_halls = Arc::clone(drained);
         for side in self.sides.values_mut() {
             side.is_hall_drained = drained.contains(&side.hall);
             side.owes_heartbeat = side.session.is_some();
         }
         self.sides_due = Some(now);
         let runs = self.runs_in_drained_halls();
-        self.decided(SchedulerDecision::HallsDrained {
+        self.record_decision(SchedulerDecision::HallsDrained {
             drained: Arc::clone(drained),
             runs,
         });
@@ -35,7 +35,7 @@
 
     /// The halls that are drained, as far as it is known here.
     pub fn drained_halls(&self) -> &DrainedHalls {
-        &self.drained
+        &self.drained_halls
     }
 
     /// Runs of this entry that go on in drained halls.
@@ -46,7 +46,7 @@
 
     /// Whether every linked side stands in a drained hall: until operators return one nothing can run.
     pub(super) fn has_no_hall_left(&self) -> bool {
-        if self.drained.halls.is_empty() {
+        if self.drained_halls.halls.is_empty() {
             return false;
         }
         let mut linked = self.sides.values().filter(|side| side.session.is_some());
--- a/crates/mastknot_core/src/scheduler/held_grants.rs
+++ b/crates/mastknot_core/src/scheduler/held_grants.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldGrant {
     /// What the entry may start.
-    pub(crate) room: Capacity,
+    pub(crate) capacity: Capacity,
     /// Until when.
     pub(crate) until: Moment,
     /// Whether it was made for what waits here: what is left is returned.
@@ -35,7 +35,7 @@
     /// A grant that has come now.
     pub(crate) fn new(now: Moment, grant: &CapacityGrant, is_needed: bool) -> Self {
         Self {
-            room: grant.capacity,
+            capacity: grant.capacity,
             until: now + grant.valid(),
             is_needed,
         }
@@ -69,7 +69,7 @@
 
 impl JobScheduler {
     /// Whether sides are asked to grant room that is short.
-    pub(super) fn is_granted_room(&self) -> bool {
+    pub(super) fn uses_capacity_grants(&self) -> bool {
         self.has_ranked_queues && self.settings.scarcity.grants
     }
 
@@ -78,7 +78,7 @@
         let service = Arc::clone(&policy.service);
         let first = self.first_priorities.entry(service).or_insert(u32::MAX);
         *first = policy.priority.min(*first);
-        if std::mem::replace(&mut self.has_ranked_queues, true) || !self.is_granted_room() {
+        if std::mem::replace(&mut self.has_ranked_queues, true) || !self.uses_capacity_grants() {
             return;
         }
         let used = self.sides.values_mut();
@@ -92,12 +92,12 @@
     pub(super) fn goes_first(&self, policy: &QueuePolicy) -> bool {
         let first = self.first_priorities.get(&policy.service);
         let is_first = first.is_some_and(|first| policy.priority <= *first);
-        self.is_granted_room() && policy.is_ranked && is_first
+        self.uses_capacity_grants() && policy.is_ranked && is_first
     }
 
     /// How long starts may wait at sides, in milliseconds.
     pub(super) fn may_wait_ms(&self) -> u32 {
-        match self.is_granted_room() {
+        match self.uses_capacity_grants() {
             true => MAY_WAIT_MS,
             false => 0,
         }
@@ -120,7 +120,7 @@
 
     /// Something more urgent than was told waits now, or much more of it: some sides are told at once.
     pub(super) fn tell_new_need(&mut self, now: Moment) {
-        if !self.is_granted_room() {
+        if !self.uses_capacity_grants() {
             return;
         }
         let Some(need) = self.waiting_need(now) else {
@@ -141,7 +141,7 @@
         let most = (tasks as usize).clamp(LEAST_TOLD, MOST_TOLD);
         self.counters.needs_told += 1;
         let sides = self.mark_told(most);
-        self.decided(SchedulerDecision::NeedTold {
+        self.record_decision(SchedulerDecision::NeedReported {
             rank: need.rank,
             cpu_millis,
             sides,
--- a/crates/mastknot_core/src/scheduler/job_ends.rs
+++ b/crates/mastknot_core/src/scheduler/job_ends.rs
@@ -79,7 +79,7 @@
         let has_failed = failures >= job.policy.max_attempts.max(1);
         if ended.end != EndOfRun::Done && !job.is_over {
             let request_id = Arc::clone(&job.request.request_id);
-            self.decided(SchedulerDecision::RunEnded {
+            self.record_decision(SchedulerDecision::RunEnded {
                 run,
                 request_id,
                 side: side.clone(),
--- a/crates/mastknot_core/src/scheduler/job_forecast.rs
+++ b/crates/mastknot_core/src/scheduler/job_forecast.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::admission::LOOKED_AT_EACH;
+use super::admission::REVIEW_INTERVAL;
 use crate::types::Moment;
 
 /// What was forecast of a job when it began to wait.
@@ -34,6 +34,6 @@
     /// Whether a look before this one has denied it, and all since; looks at other jobs' arrivals come too soon to tell more.
     pub(crate) fn was_doubted(&self, now: Moment) -> bool {
         self.doubted
-            .is_some_and(|since| now >= since + LOOKED_AT_EACH)
+            .is_some_and(|since| now >= since + REVIEW_INTERVAL)
     }
 }
--- a/crates/mastknot_core/src/scheduler/job_scheduler.rs
+++ b/crates/mastknot_core/src/scheduler/job_scheduler.rs
@@ -9,13 +9,13 @@
 use super::containment::Containment;
 use super::crash_memory::CrashMemory;
 use super::demand_forecast::DemandForecast;
-use super::giving_way::GivingWay;
 use super::held_grants::ToldNeed;
 use super::kind_loads::KindLoads;
 use super::learned_beliefs::LearnedBeliefs;
 use super::run_times::RunTimes;
 use super::side_links::Greeting;
 use super::side_view::SideView;
+use super::yielding::Yielding;
 use super::{
     CallerId, OrderKey, SchedulerCounters, SchedulerDecision, SchedulerEffect, SchedulerEvent,
     SchedulerSettings, SessionId,
@@ -58,11 +58,11 @@
     /// The digest of the entries that are known.
     pub(super) directory: u64,
     /// The halls that operators have drained.
-    pub(super) drained: Arc<DrainedHalls>,
+    pub(super) drained_halls: Arc<DrainedHalls>,
     /// How halls share room that is short.
     pub(super) weights: Arc<ShareWeights>,
     /// When a job of a ranked queue was last handed in.
-    pub(super) ranked_at: Option<Moment>,
+    pub(super) last_ranked_submission: Option<Moment>,
     /// The configuration in force.
     pub(super) document: Option<ConfigDocument>,
     pub(super) fetch: DocumentFetch<SessionId>,
@@ -72,18 +72,18 @@
     /// Crashes of targets, and what ran there.
     pub(super) crashes: CrashMemory,
     pub(super) kind_loads: KindLoads,
-    pub(super) class_paces: ClassPaces,
-    pub(super) beliefs: LearnedBeliefs,
+    pub(super) class_slowdowns: ClassPaces,
+    pub(super) priors: LearnedBeliefs,
     /// Kinds of tasks that are kept to a part of the targets.
     pub(super) containment: Containment,
     /// Those of them that have a part.
-    pub(super) parted_kinds: Vec<TaskKind>,
+    pub(super) kinds_with_own_targets: Vec<TaskKind>,
     /// When the last event was handled.
-    pub(super) handled: Moment,
+    pub(super) last_event_at: Moment,
     /// What is observed for the forecast.
     pub(super) demand: DemandForecast,
     /// Who waits for others while room is short for a moment.
-    pub(super) giving_way: GivingWay,
+    pub(super) yielding: Yielding,
     pub(super) has_told_waiting: bool,
     /// Whether jobs have come to queues that compete by priority.
     pub(super) has_ranked_queues: bool,
@@ -121,9 +121,9 @@
             is_holder_choice_stale: false,
             entries: Vec::new(),
             directory: 0,
-            drained: Arc::default(),
+            drained_halls: Arc::default(),
             weights: Arc::default(),
-            ranked_at: None,
+            last_ranked_submission: None,
             document: None,
             fetch: DocumentFetch::new(first_choice),
             documents: DocumentServer::default(),
@@ -131,13 +131,13 @@
             run_times: RunTimes::default(),
             crashes: CrashMemory::default(),
             kind_loads: KindLoads::default(),
-            class_paces: ClassPaces::default(),
-            beliefs: LearnedBeliefs::default(),
+            class_slowdowns: ClassPaces::default(),
+            priors: LearnedBeliefs::default(),
             containment: Containment::default(),
-            parted_kinds: Vec::new(),
-            handled: Moment::default(),
+            kinds_with_own_targets: Vec::new(),
+            last_event_at: Moment::default(),
             demand: DemandForecast::default(),
-            giving_way: GivingWay::default(),
+            yielding: Yielding::default(),
             has_told_waiting: false,
             has_ranked_queues: false,
             first_priorities: HashMap::new(),
@@ -154,7 +154,7 @@
     ///
     /// What time has ended is ended first: a process that was paused must not act on old beliefs.
     pub fn step(&mut self, now: Moment, event: SchedulerEvent) -> Vec<SchedulerEffect> {
-        self.handled = now;
+        self.last_event_at = now;
         self.expire_jobs(now);
         self.end_patience(now);
         self.end_silent_links(now);
@@ -235,7 +235,7 @@
         self.effects.push(SchedulerEffect::Send { session, order });
     }
 
-    pub(super) fn decided(&mut self, decision: SchedulerDecision) {
+    pub(super) fn record_decision(&mut self, decision: SchedulerDecision) {
         self.effects.push(SchedulerEffect::Decided(decision));
     }
 
@@ -245,7 +245,7 @@
         let patience = self.patience.first().map(|(at, _)| *at);
         // The first waiting job's outlook worsens then.
         let outlook = self.waiting.keys().next().map(|key| key.latest_start);
-        let outlook = outlook.filter(|at| *at > self.handled);
+        let outlook = outlook.filter(|at| *at > self.last_event_at);
         deadline
             .into_iter()
             .chain(patience)
--- a/crates/mastknot_core/src/scheduler/job_work.rs
+++ b/crates/mastknot_core/src/scheduler/job_work.rs
@@ -13,7 +13,7 @@
 
     /// The room that its waiting tasks take, in thousandths of a core.
     pub(crate) fn waiting_room(&self) -> u64 {
-        let waiting = self.waiting().into_iter();
+        let waiting = self.waiting_tasks().into_iter();
         waiting
             .map(|task| u64::from(self.step(task).required_capacity.cpu_millis))
             .sum()
@@ -33,7 +33,7 @@
 
     /// The room that the smallest of its waiting tasks takes.
     pub(crate) fn smallest_waiting(&self) -> Capacity {
-        let waiting = self.waiting().into_iter();
+        let waiting = self.waiting_tasks().into_iter();
         let rooms = waiting.map(|task| self.step(task).required_capacity);
         rooms
             .reduce(|one, other| one.smaller_of(&other))
--- a/crates/mastknot_core/src/scheduler/learned.rs
+++ b/crates/mastknot_core/src/scheduler/learned.rs
@@ -10,15 +10,15 @@
     /// What it believes now; without ranked queues it has no paces of its own to tell, and passes on what it has read.
     pub fn learned(&self) -> LearnedProfile {
         let suspects = self.containment.learned();
-        if !self.beliefs.has_ranked {
+        if !self.priors.has_ranked {
             return LearnedProfile {
                 suspects,
-                ..self.beliefs.waiting.clone()
+                ..self.priors.waiting.clone()
             };
         }
         LearnedProfile {
             written_ms: 0,
-            slowdowns: self.class_paces.learned(),
+            slowdowns: self.class_slowdowns.learned(),
             run_times: self.run_times.learned(),
             suspects,
         }
@@ -37,7 +37,7 @@
             written_ms: wall.as_millis(),
             ..self.learned()
         };
-        let news = profile_update(known, &profile, self.beliefs.has_ranked)?;
+        let news = profile_update(known, &profile, self.priors.has_ranked)?;
         let place = self.writer_place();
         Some(ProfileOffer {
             profile,
@@ -61,7 +61,7 @@
             return;
         }
         self.counters.profiles_read += 1;
-        self.decided(SchedulerDecision::ProfileRead {
+        self.record_decision(SchedulerDecision::ProfileRead {
             age_ms: profile.age(wall).as_millis() as u64,
             paces: profile.slowdowns.len(),
             run_times: profile.run_times.len(),
@@ -69,30 +69,30 @@
         });
         let aged = profile.aged(wall);
         self.contain_learned(now, &aged.suspects);
-        self.beliefs.waiting = LearnedProfile {
+        self.priors.waiting = LearnedProfile {
             suspects: Vec::new(),
             ..aged
         };
-        if self.beliefs.has_ranked {
+        if self.priors.has_ranked {
             self.use_waiting_beliefs();
         }
     }
 
     /// A job has come to a ranked queue: what others have learned of paces is of use.
     pub(super) fn use_beliefs(&mut self) {
-        if !self.beliefs.has_ranked {
-            self.beliefs.has_ranked = true;
+        if !self.priors.has_ranked {
+            self.priors.has_ranked = true;
             self.use_waiting_beliefs();
         }
     }
 
     fn use_waiting_beliefs(&mut self) {
-        let waiting = std::mem::take(&mut self.beliefs.waiting);
+        let waiting = std::mem::take(&mut self.priors.waiting);
         for times in &waiting.run_times {
             self.run_times.believe(times);
         }
         for pace in &waiting.slowdowns {
-            self.class_paces.believe(pace);
+            self.class_slowdowns.believe(pace);
         }
         if !waiting.slowdowns.is_empty() {
             self.work_out_paces();
--- a/crates/mastknot_core/src/scheduler/order_key.rs
+++ b/crates/mastknot_core/src/scheduler/order_key.rs
@@ -5,7 +5,7 @@
 
 /// What a job can still earn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Outlook {
+pub enum CompletionForecast {
     /// It can end within its objective.
     InTime,
     /// It can end within three times its objective.
@@ -20,7 +20,7 @@
     /// Whether its kind is contained: it waits for other targets than the rest does.
     pub is_contained: bool,
     /// What can still be in time goes before what can't.
-    pub outlook: Outlook,
+    pub outlook: CompletionForecast,
     /// Whether nothing of it has begun: a job that has begun earns nothing until all of it is done,
     /// so it is finished first, whatever its queue's priority, unless it gives way. Where room is granted this does not count for the most
     /// urgent queues, which take their turn by priority alone.
@@ -51,7 +51,7 @@
     /// The first place of those whose kinds are contained.
     pub(crate) const FIRST_CONTAINED: Self = Self {
         is_contained: true,
-        outlook: Outlook::InTime,
+        outlook: CompletionForecast::InTime,
         is_new: false,
         priority: 0,
         latest_start: Moment::from_micros(0),
@@ -75,14 +75,14 @@
 impl JobTimes {
     /// What a job can still earn whose longest remaining chain of work takes `chain`, and the last
     /// moment to start it.
-    pub(crate) fn outlook(&self, now: Moment, chain: Duration) -> (Outlook, Moment) {
+    pub(crate) fn outlook(&self, now: Moment, chain: Duration) -> (CompletionForecast, Moment) {
         let end = now + chain;
         let (outlook, by) = if end <= self.objective {
-            (Outlook::InTime, self.objective)
+            (CompletionForecast::InTime, self.objective)
         } else if end <= self.late {
-            (Outlook::Late, self.late)
+            (CompletionForecast::Late, self.late)
         } else {
-            (Outlook::Hopeless, self.late)
+            (CompletionForecast::Hopeless, self.late)
         };
         (outlook, by - chain)
     }
--- a/crates/mastknot_core/src/scheduler/placing.rs
+++ b/crates/mastknot_core/src/scheduler/placing.rs
@@ -6,7 +6,7 @@
 use super::active_job::{ActiveJob, TaskState};
 use super::job_scheduler::JobScheduler;
 use super::side_view::{SideTrial, SideView};
-use super::{OrderKey, Outlook, SchedulerDecision};
+use super::{CompletionForecast, OrderKey, SchedulerDecision};
 use crate::job::{
     Capacity, EntryOrder, JobAnswer, JobId, RunId, StartOrder, TargetCondition, WaitingNeed,
     trial_time,
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     /// Its place among the sides.
-    pub(super) place: usize,
+    pub(super) side_index: usize,
     /// Whether its target is slow: it gets one task as a try.
     pub(super) is_slow: bool,
 }
@@ -92,11 +92,11 @@
         let pause = SLOW_TARGET_TRIED_EVERY * entries;
         let median_pace = self.median_pace();
         let candidates = with_room.into_iter().map(|place| Candidate {
-            place,
+            side_index: place,
             is_slow: is_slow(&self.sides[place], median_pace),
         });
         let is_open = |candidate: &Candidate| {
-            !candidate.is_slow || may_be_tried(now, &self.sides[candidate.place], pause)
+            !candidate.is_slow || may_be_tried(now, &self.sides[candidate.side_index], pause)
         };
         candidates.filter(is_open).collect()
     }
@@ -117,7 +117,7 @@
                 continue;
             };
             let mut whole = Capacity::default();
-            for task in job.waiting() {
+            for task in job.waiting_tasks() {
                 let room = job.step(task).required_capacity;
                 whole = whole.with(&room);
                 let so_far = need.get_or_insert(WaitingNeed {
@@ -128,11 +128,11 @@
                 so_far.required_capacity = so_far.required_capacity.with(&room);
                 so_far.smallest_task = so_far.smallest_task.smaller_of(&room);
             }
-            if let Some(need) = need.as_mut().filter(|_| self.is_granted_room()) {
+            if let Some(need) = need.as_mut().filter(|_| self.uses_capacity_grants()) {
                 need.record_job(whole, now.since(job.arrived));
             }
         }
-        if let Some(need) = need.as_mut().filter(|_| self.is_granted_room()) {
+        if let Some(need) = need.as_mut().filter(|_| self.uses_capacity_grants()) {
             need.by_rank = self.own_waiting();
         }
         need
@@ -141,7 +141,7 @@
     /// Gives up jobs that found no room and can't end while they are worth anything: their callers
     /// learn so at once, and what still runs of them is stopped for others.
     fn give_up_hopeless(&mut self, now: Moment) {
-        let is_hopeless = |key: &OrderKey| key.outlook == Outlook::Hopeless;
+        let is_hopeless = |key: &OrderKey| key.outlook == CompletionForecast::Hopeless;
         let free = self.waiting.range(..OrderKey::FIRST_CONTAINED).rev();
         let free = free.take_while(|(key, _)| is_hopeless(key));
         let contained = self.waiting.range(OrderKey::FIRST_CONTAINED..);
@@ -164,8 +164,9 @@
         let first = self.waiting.iter().take(MAX_SCANNED);
         let contained = self.waiting.range(OrderKey::FIRST_CONTAINED..);
         let stale = first.chain(contained.take(MAX_SCANNED));
-        let stale =
-            stale.filter(|(key, _)| key.outlook != Outlook::Hopeless && key.latest_start < now);
+        let stale = stale.filter(|(key, _)| {
+            key.outlook != CompletionForecast::Hopeless && key.latest_start < now
+        });
         let stale: Vec<JobId> = stale.map(|(_, id)| *id).collect();
         for id in stale {
             self.queue_job(now, id);
@@ -184,7 +185,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return true;
         };
-        let waiting = job.waiting();
+        let waiting = job.waiting_tasks();
         let mut all_placed = true;
         for task in waiting {
             let Some(job) = self.jobs.get(&id) else {
@@ -210,7 +211,7 @@
     /// Whether a task of a job could be placed now, whatever waits before it.
     pub(super) fn has_room_for(&self, now: Moment, job: &ActiveJob) -> bool {
         let candidates = self.candidates(now);
-        let mut waiting = job.waiting().into_iter();
+        let mut waiting = job.waiting_tasks().into_iter();
         let first = waiting.next();
         first.is_some_and(|task| self.pick_side(now, job, task, &candidates).is_some())
     }
@@ -226,9 +227,9 @@
         let likely = suspect.map(|_| self.likely_part(job.kind(task)));
         let is_unlikely = |place: &usize| likely.as_ref().is_some_and(|part| !part.contains(place));
         let sides = candidates.iter().filter_map(|candidate| {
-            let (name, side) = self.sides.get_index(candidate.place)?;
+            let (name, side) = self.sides.get_index(candidate.side_index)?;
             let is_tried = candidate.is_slow && !side.runs.is_empty();
-            (!is_tried).then_some((candidate.place, name, side))
+            (!is_tried).then_some((candidate.side_index, name, side))
         });
         let fitting = sides.filter(|(_, name, side)| {
             is_suitable(job, task, side)
@@ -280,7 +281,9 @@
             side: side.clone(),
             free_cpu_millis: view.free().cpu_millis,
             view_age_ms: now.since(view.heard).as_millis() as u64,
-            outlook: job.key.map_or(Outlook::InTime, |key| key.outlook),
+            completion_forecast: job
+                .key
+                .map_or(CompletionForecast::InTime, |key| key.outlook),
             waited_ms: now.since(job.arrived).as_millis() as u64,
         };
         view.note_start(now, run, id, room);
@@ -313,7 +316,7 @@
         };
         self.counters.starts += 1;
         self.send(session, EntryOrder::Start(order));
-        self.decided(placed);
+        self.record_decision(placed);
     }
 }
 
--- a/crates/mastknot_core/src/scheduler/relaying.rs
+++ b/crates/mastknot_core/src/scheduler/relaying.rs
@@ -28,8 +28,8 @@
         EntryUpdate {
             config_version: self.document_version(),
             directory: self.directory,
-            drained: Arc::clone(&self.drained),
-            grants_capacity: self.is_granted_room(),
+            drained: Arc::clone(&self.drained_halls),
+            grants_capacity: self.uses_capacity_grants(),
             shares_capacity: self.shares_room(),
             shares: Arc::clone(&self.weights),
         }
@@ -55,7 +55,7 @@
         for side in self.sides.values_mut() {
             side.owes_heartbeat |= side.holds_documents;
         }
-        self.sides_due = Some(self.handled);
+        self.sides_due = Some(self.last_event_at);
     }
 
     /// Chooses the sides that hold the configuration: the same ones at all entries that see the same sides.
--- a/crates/mastknot_core/src/scheduler/reviewing.rs
+++ b/crates/mastknot_core/src/scheduler/reviewing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::active_job::ActiveJob;
-use super::admission::{Admission, AdmissionInput, LOOKED_AT_EACH};
+use super::admission::{Admission, AdmissionInput, REVIEW_INTERVAL};
 use super::forecast::{Forecast, ForecastInput};
 use super::job_forecast::SaidWait;
 use super::job_scheduler::JobScheduler;
@@ -49,8 +49,8 @@
     pub(super) fn review_due(&self) -> Option<Moment> {
         let is_on = self.settings.scarcity.forecast && !self.waiting.is_empty();
         let due = match self.demand.has_new {
-            true => self.handled,
-            false => self.demand.looked + LOOKED_AT_EACH,
+            true => self.last_event_at,
+            false => self.demand.looked + REVIEW_INTERVAL,
         };
         (is_on && self.has_ranked_waiting()).then_some(due)
     }
@@ -109,11 +109,11 @@
         let seen = now.since(said.at);
         let queue = Arc::clone(&job.policy.name);
         self.demand.errors.note(&queue, said.wait, seen);
-        self.decided(SchedulerDecision::ForecastSeen {
+        self.record_decision(SchedulerDecision::ForecastSeen {
             job: id,
             queue,
-            said_ms: said.wait.as_millis() as u64,
-            seen_ms: seen.as_millis() as u64,
+            forecast_ms: said.wait.as_millis() as u64,
+            actual_ms: seen.as_millis() as u64,
         });
     }
 
@@ -180,7 +180,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return false;
         };
-        job.forecast.doubt(now, admission == Admission::Doubt);
+        job.forecast.doubt(now, admission == Admission::DeniedOnce);
         if input.is_new {
             job.forecast.is_known = true;
             job.forecast.said = forecast.wait.map(|wait| SaidWait { at: now, wait });
@@ -211,7 +211,7 @@
         let queue = Arc::clone(&job.policy.name);
         let retry_after = self.retry_after(now, id);
         let free = view.sides.iter().map(|side| side.free.cpu_millis);
-        self.decided(SchedulerDecision::Denied {
+        self.record_decision(SchedulerDecision::Denied {
             job: id,
             request_id,
             queue,
@@ -258,7 +258,7 @@
             error: self.demand.errors.mean(&job.policy.name),
             has_room: false,
             is_new: !job.forecast.is_known,
-            was_doubted: job.forecast.was_doubted(now),
+            was_denied_before: job.forecast.was_doubted(now),
         }
     }
 }
--- a/crates/mastknot_core/src/scheduler/scheduler_decision.rs
+++ b/crates/mastknot_core/src/scheduler/scheduler_decision.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use super::{CallerId, Outlook};
+use super::{CallerId, CompletionForecast};
 use crate::job::{
     DrainedHalls, EndOfRun, JobAnswer, JobId, RunId, ShareWeights, TaskKind, TaskRef,
 };
@@ -61,12 +61,12 @@
         /// The age of that belief, in milliseconds.
         view_age_ms: u64,
         /// What the job could still earn.
-        outlook: Outlook,
+        completion_forecast: CompletionForecast,
         /// How long the job had been here, in milliseconds.
         waited_ms: u64,
     },
     /// Some sides were told at once of what waits for room.
-    NeedTold {
+    NeedReported {
         /// How urgent it is; 0 is the most urgent.
         rank: u8,
         /// What it takes together, in thousandths of a core.
@@ -181,9 +181,9 @@
         /// Its queue.
         queue: Arc<str>,
         /// The wait that was forecast, in milliseconds.
-        said_ms: u64,
+        forecast_ms: u64,
         /// The wait, in milliseconds.
-        seen_ms: u64,
+        actual_ms: u64,
     },
     /// A caller left before its answer.
     Abandoned {
@@ -220,7 +220,7 @@
         lost: usize,
     },
     /// A side greeted and did not answer the welcome: the greeting may be one of a life that is over.
-    GreetingUnanswered {
+    HandshakeUnanswered {
         /// The side.
         side: NodeName,
         /// The life that greeted.
--- a/crates/mastknot_core/src/scheduler/scheduler_settings.rs
+++ b/crates/mastknot_core/src/scheduler/scheduler_settings.rs
@@ -48,9 +48,9 @@
     /// So many entries use each side for starts as a rule.
     pub entries_per_side: usize,
     /// So many links to sides are used for starts at least.
-    pub least_links: usize,
+    pub min_links: usize,
     /// So many links to sides are used for starts at most, while no task waits.
-    pub most_links: usize,
+    pub max_links: usize,
 }
 
 impl SchedulerSettings {
@@ -69,14 +69,14 @@
             claims_jobs: true,
             link: LinkRate::default(),
             entries_per_side: DEFAULT_ENTRIES_PER_SIDE,
-            least_links: DEFAULT_LEAST_LINKS,
-            most_links: DEFAULT_MOST_LINKS,
+            min_links: DEFAULT_LEAST_LINKS,
+            max_links: DEFAULT_MOST_LINKS,
         }
     }
 
     /// How many links are used for starts as a rule, where so many entries and linked sides are known.
     pub fn usual_links(&self, entries: usize, sides: usize) -> usize {
         let share = (self.entries_per_side * sides).div_ceil(entries.max(1));
-        share.max(self.least_links).min(self.most_links)
+        share.max(self.min_links).min(self.max_links)
     }
 }
--- a/crates/mastknot_core/src/scheduler/share_weights.rs
+++ b/crates/mastknot_core/src/scheduler/share_weights.rs
@@ -20,7 +20,7 @@
         }
         self.weights = Arc::clone(weights);
         let weights = Arc::clone(weights);
-        self.decided(SchedulerDecision::ShareWeights { weights });
+        self.record_decision(SchedulerDecision::ShareWeights { weights });
     }
 
     /// The weights of halls, as far as they are known here.
@@ -30,14 +30,14 @@
 
     /// A job is handed in to a ranked queue.
     pub(super) fn note_ranked_job(&mut self, now: Moment) {
-        self.ranked_at = Some(now);
+        self.last_ranked_submission = Some(now);
     }
 
     /// Whether sides are to share room that is short between halls.
     pub(super) fn shares_room(&self) -> bool {
         let is_ranked = self
-            .ranked_at
-            .is_some_and(|at| self.handled.since(at) <= RANKED_FOR);
+            .last_ranked_submission
+            .is_some_and(|at| self.last_event_at.since(at) <= RANKED_FOR);
         self.settings.scarcity.shares && is_ranked
     }
 }
--- a/crates/mastknot_core/src/scheduler/side_links.rs
+++ b/crates/mastknot_core/src/scheduler/side_links.rs
@@ -92,7 +92,7 @@
     fn take_link(&mut self, now: Moment, session: SessionId, greeting: Greeting) {
         let hello = greeting.hello;
         self.learn_drained_halls(now, &hello.drained);
-        let is_hall_drained = self.drained.contains(&hello.hall);
+        let is_hall_drained = self.drained_halls.contains(&hello.hall);
         let fresh = SideView::new(now, hello.incarnation, hello.hall.clone());
         let view = self.sides.entry(hello.side.clone()).or_insert(fresh);
         let replaced = view.session.take();
@@ -131,7 +131,7 @@
             };
             self.counters.greetings_unanswered += 1;
             self.effects.push(SchedulerEffect::Close { session });
-            self.decided(SchedulerDecision::GreetingUnanswered {
+            self.record_decision(SchedulerDecision::HandshakeUnanswered {
                 side: greeting.hello.side,
                 incarnation: greeting.hello.incarnation,
             });
@@ -174,7 +174,7 @@
             self.stop_unwanted(session, &adopted);
         }
         let side = name.clone();
-        self.decided(SchedulerDecision::SideJoined { side, kept, lost });
+        self.record_decision(SchedulerDecision::SideJoined { side, kept, lost });
         self.claim_at(now, name);
     }
 
@@ -274,7 +274,7 @@
         self.fill_active_links(now);
         self.await_link(now, &name);
         self.move_claims(now, &name);
-        self.decided(SchedulerDecision::SideLeft {
+        self.record_decision(SchedulerDecision::SideLeft {
             side: name,
             was_silent,
             age_ms,
@@ -321,7 +321,7 @@
     /// tasks begin to wait.
     pub(super) fn beat(&mut self, now: Moment) {
         let has_waiting = self.has_job_in_turn(now);
-        let is_news = has_waiting && !self.has_told_waiting && !self.is_granted_room();
+        let is_news = has_waiting && !self.has_told_waiting && !self.uses_capacity_grants();
         self.has_told_waiting = has_waiting;
         if is_news {
             self.mark_told_first();
--- a/crates/mastknot_core/src/scheduler/side_view.rs
+++ b/crates/mastknot_core/src/scheduler/side_view.rs
@@ -248,8 +248,8 @@
     /// Drops a grant: its time is over, or the side is told that what is left of it is not needed.
     pub(crate) fn drop_grant(&mut self) {
         if let Some(grant) = self.grant.take() {
-            self.free = self.free.without(&grant.room);
-            self.hidden = self.hidden.with(&grant.room);
+            self.free = self.free.without(&grant.capacity);
+            self.hidden = self.hidden.with(&grant.capacity);
         }
     }
 
--- a/crates/mastknot_core/src/scheduler/submitting.rs
+++ b/crates/mastknot_core/src/scheduler/submitting.rs
@@ -94,7 +94,7 @@
         self.deadlines.insert((deadline, id));
         self.patience.insert((job.patience_ends, id));
         self.jobs.insert(id, job);
-        self.decided(taken);
+        self.record_decision(taken);
         self.claim(now, id);
         self.queue_job(now, id);
         self.give_up_known(now, id);
@@ -137,7 +137,7 @@
             job.tasks.iter_mut().for_each(ActiveTask::forget_ends);
         }
         self.deadlines.insert((deadline, id));
-        self.decided(SchedulerDecision::Rejoined {
+        self.record_decision(SchedulerDecision::Rejoined {
             job: id,
             request_id: Arc::clone(&request.request_id),
         });
@@ -218,7 +218,7 @@
         let after_ms = now.since(job.arrived).as_millis() as u64;
         let has_begun = job.may_have_begun();
         self.counters.jobs_abandoned += 1;
-        self.decided(SchedulerDecision::Abandoned {
+        self.record_decision(SchedulerDecision::Abandoned {
             job: id,
             caller,
             runs,
@@ -266,7 +266,7 @@
             JobAnswer::Refused { .. } => self.counters.jobs_refused += 1,
             JobAnswer::TimedOut => self.counters.jobs_timed_out += 1,
         }
-        self.decided(answered);
+        self.record_decision(answered);
         self.note_answer(now, id, answer, in_time);
         self.end_job(now, id);
     }
--- a/crates/mastknot_core/src/scheduler/suspects.rs
+++ b/crates/mastknot_core/src/scheduler/suspects.rs
@@ -55,7 +55,7 @@
         };
         let request_id = Arc::clone(&job.request.request_id);
         self.counters.tasks_given_up += 1;
-        self.decided(SchedulerDecision::TaskGivenUp {
+        self.record_decision(SchedulerDecision::TaskGivenUp {
             task,
             request_id,
             ran_ms: self.crashes.ran_ms(&task),
--- a/crates/mastknot_core/src/scheduler/target_classes.rs
+++ b/crates/mastknot_core/src/scheduler/target_classes.rs
@@ -29,7 +29,7 @@
         let Some(class) = view.and_then(SideView::class).cloned() else {
             return;
         };
-        if self.class_paces.note(queue, &class, guess, ran) {
+        if self.class_slowdowns.note(queue, &class, guess, ran) {
             self.work_out_paces();
         }
     }
@@ -39,13 +39,13 @@
         for class in self.sides.values().filter_map(SideView::class) {
             *targets.entry(Arc::clone(class)).or_default() += 1;
         }
-        self.class_paces.work_out(&targets);
+        self.class_slowdowns.work_out(&targets);
     }
 
     /// How long work takes at a side against the middle of all targets.
     pub(super) fn pace_at(&self, side: &SideView) -> f64 {
         side.class()
-            .map_or(1.0, |class| self.class_paces.pace(class))
+            .map_or(1.0, |class| self.class_slowdowns.pace(class))
     }
 
     /// Added to the score of a side for a task: much where it would be late, a little where a faster target than it needs
@@ -57,11 +57,11 @@
         task: usize,
         side: &SideView,
     ) -> u32 {
-        if self.class_paces.are_alike() {
+        if self.class_slowdowns.are_alike() {
             return 0;
         }
         let pace = self.pace_at(side);
-        let slowest = self.class_paces.slowest();
+        let slowest = self.class_slowdowns.slowest();
         let expected = job.expected[usize::from(job.tasks[task].name.step)];
         let left = job.time_left(now, expected).as_secs_f64();
         let part = expected.as_secs_f64() * pace / left.max(f64::MIN_POSITIVE);
--- a/crates/mastknot_core/src/scheduler/whole_starts.rs
+++ b/crates/mastknot_core/src/scheduler/whole_starts.rs
@@ -22,13 +22,13 @@
     /// Where room is granted it comes in small pieces, and the queues' priorities decide.
     pub(super) fn waits_whole_until(&self, now: Moment, id: JobId) -> Option<Moment> {
         let job = self.jobs.get(&id)?;
-        let turn = job.own_turn();
-        let may_wait = !self.is_granted_room()
+        let turn = job.stops_yielding_at();
+        let may_wait = !self.uses_capacity_grants()
             && job.is_in_time()
             && !job.may_have_begun()
             && job.times.slack > TIME_TO_SPARE
             && now < turn
-            && self.giving_way.lost_share(now, &job.policy.name) <= MOST_LOST;
+            && self.yielding.lost_share(now, &job.policy.name) <= MOST_LOST;
         (may_wait && self.is_plain(job) && self.could_hold(now, job)).then_some(turn)
     }
 
@@ -38,7 +38,7 @@
             return true;
         };
         let sides = candidates.iter().map(|candidate| {
-            let side = &self.sides[candidate.place];
+            let side = &self.sides[candidate.side_index];
             (side, side.free(), candidate.is_slow)
         });
         self.holds_all(now, job, sides)
@@ -62,8 +62,8 @@
         job: &ActiveJob,
         sides: impl Iterator<Item = (&'a SideView, Capacity, bool)>,
     ) -> bool {
-        let mut left = job.waiting().len();
-        let Some(task) = job.waiting().first().copied() else {
+        let mut left = job.waiting_tasks().len();
+        let Some(task) = job.waiting_tasks().first().copied() else {
             return true;
         };
         let step = job.step(task);
@@ -85,7 +85,7 @@
 
     /// Whether a job's waiting tasks are alike, and none of them is a suspect that is tried by itself.
     fn is_plain(&self, job: &ActiveJob) -> bool {
-        let waiting = job.waiting();
+        let waiting = job.waiting_tasks();
         let step = |task: &usize| job.tasks[*task].name.step;
         let first = waiting.first().map(step);
         waiting
--- a/crates/mastknot_core/src/scheduler/giving_way.rs
+++ b/crates/mastknot_core/src/scheduler/yielding.rs
@@ -11,7 +11,7 @@
 use super::job_scheduler::JobScheduler;
 use super::placing::Candidate;
 use super::queue_losses::QueueLosses;
-use super::{OrderKey, Outlook};
+use super::{CompletionForecast, OrderKey};
 use crate::job::{JobAnswer, JobId};
 use crate::types::Moment;
 
@@ -42,7 +42,7 @@
 
 /// For whom jobs give way.
 #[derive(Clone, Debug, Default)]
-pub(super) struct GivingWay {
+pub(super) struct Yielding {
     /// By service.
     pressed: HashMap<Arc<str>, Pressed>,
     losses: QueueLosses,
@@ -50,7 +50,7 @@
     due: Option<Moment>,
 }
 
-impl GivingWay {
+impl Yielding {
     /// Notes a pressed job, unless a more urgent one or one with less time is pressed already.
     fn press(&mut self, service: &Arc<str>, pressed: Pressed) {
         let known = self.pressed.get(service);
@@ -80,14 +80,14 @@
             return None;
         }
         let latest_start = key.latest_start.min(job.arrived + job.times.slack);
-        let turn = job.own_turn().min(latest_start - pressed.slack);
+        let turn = job.stops_yielding_at().min(latest_start - pressed.slack);
         (turn > now).then(|| turn.min(pressed.at + pressed.slack))
     }
 }
 
 impl ActiveJob {
     /// From then on it waits for nobody.
-    pub(super) fn own_turn(&self) -> Moment {
+    pub(super) fn stops_yielding_at(&self) -> Moment {
         let patience = self.patience_ends.since(self.arrived);
         self.arrived + patience.mul_f64(GIVEN_PATIENCE)
     }
@@ -95,14 +95,14 @@
     /// Whether it waits for targets that are open to all and can still be in time.
     pub(super) fn is_in_time(&self) -> bool {
         let key = self.key.filter(|key| !key.is_contained);
-        key.is_some_and(|key| key.outlook == Outlook::InTime)
+        key.is_some_and(|key| key.outlook == CompletionForecast::InTime)
     }
 }
 
 impl JobScheduler {
     /// When the first of the jobs that wait for others has its turn.
     pub(super) fn turn_due(&self) -> Option<Moment> {
-        let due = self.giving_way.due.filter(|due| *due > self.handled);
+        let due = self.yielding.due.filter(|due| *due > self.last_event_at);
         due.filter(|_| !self.waiting.is_empty())
     }
 
@@ -127,7 +127,7 @@
                 None => {}
             }
         }
-        self.giving_way.due = due;
+        self.yielding.due = due;
         first
     }
 
@@ -152,11 +152,11 @@
     /// Until when a waiting job gives way; none if it has its turn.
     fn gives_way_until(&self, now: Moment, key: &OrderKey, id: &JobId) -> Option<Moment> {
         // Where room is granted the sides give it by priority and in small pieces.
-        if self.is_granted_room() {
+        if self.uses_capacity_grants() {
             return None;
         }
         let job = self.jobs.get(id)?;
-        self.giving_way.gives_way_until(now, key, job)
+        self.yielding.gives_way_until(now, key, job)
     }
 
     /// A job in its turn found no room.
@@ -175,13 +175,13 @@
             priority: job.policy.priority,
             slack,
         };
-        self.giving_way.press(&service, pressed);
+        self.yielding.press(&service, pressed);
     }
 
     /// Whether room is short for others as well where this job finds none: it can still be in time, and no target is
     /// closed to it alone.
     fn shows_crowd(&self, job: &ActiveJob) -> bool {
-        let mut waiting = job.waiting().into_iter();
+        let mut waiting = job.waiting_tasks().into_iter();
         job.is_in_time()
             && waiting.any(|task| {
                 let step = job.step(task);
@@ -207,6 +207,6 @@
         }
         let is_served = answer == JobAnswer::Completed && is_in_time;
         let queue = Arc::clone(&job.policy.name);
-        self.giving_way.losses.note(now, &queue, !is_served);
+        self.yielding.losses.note(now, &queue, !is_served);
     }
 }
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -11,7 +11,7 @@
 };
 use mastknot_core::scheduler::{
     Admission, AdmissionInput, CallerId, Forecast, ForecastInput, KnownLoad, LONGEST_RETURN,
-    LOOKED_AT_EACH, LoadView, ReturnTimes, SHORTEST_RETURN, ScarcitySettings, SchedulerEffect,
+    LoadView, REVIEW_INTERVAL, ReturnTimes, SHORTEST_RETURN, ScarcitySettings, SchedulerEffect,
     SchedulerEvent,
 };
 use mastknot_core::types::WallTime;
@@ -187,14 +187,14 @@
 #[test]
 fn a_waiting_job_is_refused_when_it_is_denied_again() {
     let denied = waits_for(Some(60));
-    assert_eq!(Admission::of(&denied), Admission::Doubt);
+    assert_eq!(Admission::of(&denied), Admission::DeniedOnce);
     let again = AdmissionInput {
-        was_doubted: true,
+        was_denied_before: true,
         ..denied
     };
     assert_eq!(Admission::of(&again), Admission::Refuse);
     let hopeful = AdmissionInput {
-        was_doubted: true,
+        was_denied_before: true,
         ..waits_for(Some(40))
     };
     assert_eq!(Admission::of(&hopeful), Admission::Wait);
@@ -206,7 +206,7 @@
         let input = AdmissionInput {
             has_room: true,
             is_new,
-            was_doubted,
+            was_denied_before: was_doubted,
             ..waits_for(None)
         };
         assert_eq!(Admission::of(&input), Admission::Wait);
@@ -222,7 +222,7 @@
     };
     assert_eq!(Admission::of(&new(70, 5)), Admission::Refuse);
     // A refusal at once allows for twice the error, the next look for the error.
-    assert_eq!(Admission::of(&new(70, 15)), Admission::Doubt);
+    assert_eq!(Admission::of(&new(70, 15)), Admission::DeniedOnce);
     assert_eq!(Admission::of(&new(70, 25)), Admission::Wait);
     // However much it errs, half of the wait is believed.
     assert_eq!(Admission::of(&new(101, 1_000)), Admission::Refuse);
@@ -324,7 +324,7 @@
 fn a_job_that_the_forecast_denies_later_is_refused_after_two_looks() {
     let mut entry = forecasting(&[0]);
     submit_ranked(&mut entry, 1, 1, wide(1));
-    let look = LOOKED_AT_EACH.as_millis() as u64;
+    let look = REVIEW_INTERVAL.as_millis() as u64;
     let mut refused = None;
     let mut now = 1;
     while refused.is_none() && now < 200 {
--- a/crates/mastknot_entry/src/jobs/job_logs.rs
+++ b/crates/mastknot_entry/src/jobs/job_logs.rs
@@ -38,12 +38,12 @@
             side,
             free_cpu_millis,
             view_age_ms,
-            outlook,
+            completion_forecast: outlook,
             waited_ms,
         } => info!(target: DECISION, run:%, request_id:%, side:%, free_cpu_millis, view_age_ms,
             outlook:?, waited_ms; "task_placed"),
         // Many a second in crowded times; `task_placed` says what came of them.
-        SchedulerDecision::NeedTold {
+        SchedulerDecision::NeedReported {
             rank,
             cpu_millis,
             sides,
@@ -110,8 +110,8 @@
         SchedulerDecision::ForecastSeen {
             job,
             queue,
-            said_ms,
-            seen_ms,
+            forecast_ms: said_ms,
+            actual_ms: seen_ms,
         } => info!(target: DECISION, job:%, queue:%, said_ms, seen_ms; "forecast_seen"),
         SchedulerDecision::Abandoned {
             job,
@@ -135,7 +135,7 @@
         SchedulerDecision::SideJoined { side, kept, lost } => {
             info!(target: DECISION, side:%, kept, lost; "side_joined");
         }
-        SchedulerDecision::GreetingUnanswered { side, incarnation } => {
+        SchedulerDecision::HandshakeUnanswered { side, incarnation } => {
             info!(target: DECISION, side:%, incarnation = incarnation.0; "greeting_unanswered");
         }
         SchedulerDecision::SideLeft {
--- a/crates/mastknot_entry/src/jobs/job_metrics.rs
+++ b/crates/mastknot_entry/src/jobs/job_metrics.rs
@@ -106,8 +106,8 @@
             }
             SchedulerDecision::ForecastSeen {
                 queue,
-                said_ms,
-                seen_ms,
+                forecast_ms: said_ms,
+                actual_ms: seen_ms,
                 ..
             } => self.note_forecast(queue, *said_ms, *seen_ms),
             _ => {}
--- a/crates/mastknot_virtual/src/jobs/processes.rs
+++ b/crates/mastknot_virtual/src/jobs/processes.rs
@@ -31,8 +31,8 @@
             settings.link = LinkRate::from_bytes_per_s(rate);
         }
         if let Some(links) = self.settings.usual_links {
-            settings.least_links = links;
-            settings.most_links = links;
+            settings.min_links = links;
+            settings.max_links = links;
         }
         node.core = Some(JobScheduler::new(settings));
         node.open.clear();
