--- a/crates/mastknot_core/src/scheduler/active_links.rs
+++ b/crates/mastknot_core/src/scheduler/active_links.rs
@@ -4,7 +4,7 @@
 
 use super::active_job::ActiveJob;
 use super::job_scheduler::JobScheduler;
-use super::side_view::{LinkDuty, SideView};
+use super::side_view::{LinkMode, SideView};
 use crate::job::EntryOrder;
 use crate::types::{Moment, NodeName};
 
@@ -78,7 +78,7 @@
 
     /// Links that are used for starts.
     pub fn active_links(&self) -> usize {
-        self.count_links(LinkDuty::Active)
+        self.count_links(LinkMode::Active)
     }
 
     /// When links beyond the usual number are given up.
@@ -124,9 +124,9 @@
         }
     }
 
-    fn count_links(&self, duty: LinkDuty) -> usize {
+    fn count_links(&self, duty: LinkMode) -> usize {
         let linked = self.sides.values().filter(|side| side.session.is_some());
-        linked.filter(|side| side.duty == duty).count()
+        linked.filter(|side| side.link_mode == duty).count()
     }
 
     /// Wakes links to targets that could run the first task that waits.
@@ -140,7 +140,7 @@
             return;
         };
         let kind = self.contained_kind(job);
-        let is_suitable = |side: &SideView| could_run(job, side) && side.kept_for == kind;
+        let is_suitable = |side: &SideView| could_run(job, side) && side.reserved_for == kind;
         let used = self.sides.values().filter(|side| is_in_use(side));
         let (count, suitable) = used.fold((0, 0), |(count, suitable), side| {
             (count + 1, suitable + usize::from(is_suitable(side)))
@@ -163,7 +163,7 @@
             return Vec::new();
         }
         let standby = self.sides.iter().filter(|(_, side)| {
-            let is_on_standby = side.session.is_some() && side.duty == LinkDuty::Standby;
+            let is_on_standby = side.session.is_some() && side.link_mode == LinkMode::Standby;
             is_on_standby && !side.is_out_of_service() && filter(side)
         });
         let mut ranked: Vec<(u32, &NodeName)> =
@@ -180,11 +180,11 @@
         let Some(session) = side.session else {
             return;
         };
-        side.duty = LinkDuty::Waking;
+        side.link_mode = LinkMode::Activating;
         // A side that does not answer is given up after the silence of a link in use from now on;
         // nothing runs there, so nothing depends on when it was really heard.
-        side.heard = now;
-        side.told_news = None;
+        side.last_received_at = now;
+        side.last_sent_update = None;
         self.sides_due = Some(now);
         self.counters.links_woken += 1;
         self.send(session, EntryOrder::Activate);
@@ -198,7 +198,7 @@
     fn stand_by_surplus(&mut self) {
         let mut used: Vec<(bool, u32, NodeName)> = Vec::new();
         for (name, side) in &self.sides {
-            if side.session.is_some() && side.duty != LinkDuty::Standby {
+            if side.session.is_some() && side.link_mode != LinkMode::Standby {
                 used.push((side.is_out_of_service(), side.rank, name.clone()));
             }
         }
@@ -221,7 +221,7 @@
         let Some(session) = side.session.filter(|_| is_idle) else {
             return;
         };
-        side.duty = LinkDuty::Standby;
+        side.link_mode = LinkMode::Standby;
         self.counters.links_stood_by += 1;
         self.send(session, EntryOrder::Standby);
     }
@@ -229,7 +229,7 @@
 
 /// Whether a link is used for starts, or will be as soon as its side has reported.
 fn is_in_use(side: &SideView) -> bool {
-    side.session.is_some() && side.duty != LinkDuty::Standby && !side.is_out_of_service()
+    side.session.is_some() && side.link_mode != LinkMode::Standby && !side.is_out_of_service()
 }
 
 /// Whether a side's target is one of those that a job's tasks may run on, as far as it is known.
--- a/crates/mastknot_core/src/scheduler/arrival_rates.rs
+++ b/crates/mastknot_core/src/scheduler/arrival_rates.rs
@@ -27,7 +27,7 @@
     }
 
     /// Work of a priority has arrived.
-    pub(crate) fn note(&mut self, now: Moment, priority: u32, work: u64) {
+    pub(crate) fn record(&mut self, now: Moment, priority: u32, work: u64) {
         self.since.get_or_insert(now);
         let left = self.left(now);
         self.sums.iter_mut().for_each(|sum| *sum *= left);
@@ -37,13 +37,13 @@
     }
 
     /// The rate of what goes before a priority, in thousandths of a core.
-    pub(crate) fn before(&self, now: Moment, priority: u32) -> f64 {
+    pub(crate) fn rate_before(&self, now: Moment, priority: u32) -> f64 {
         let count = (priority as usize).min(PRIORITIES - 1);
         self.rate(now, &self.sums[..count])
     }
 
     /// The rate of all of it, in thousandths of a core.
-    pub(crate) fn all(&self, now: Moment) -> f64 {
+    pub(crate) fn total_rate(&self, now: Moment) -> f64 {
         self.rate(now, &self.sums)
     }
 
--- a/crates/mastknot_core/src/scheduler/awaited_links.rs
+++ b/crates/mastknot_core/src/scheduler/awaited_links.rs
@@ -14,10 +14,10 @@
         let lasts = self.settings.terms.run_over_after;
         let back = now + self.settings.terms.heartbeat;
         if let Some(side) = self.sides.get_mut(name) {
-            side.lost = now;
-            side.awaited_by_new_until = back;
+            side.lost_at = now;
+            side.awaited_for_new_jobs_until = back;
         }
-        let is_lost = |side: &SideView| side.session.is_none() && now.since(side.lost) < lasts;
+        let is_lost = |side: &SideView| side.session.is_none() && now.since(side.lost_at) < lasts;
         let lost = self.sides.values().filter(|side| is_lost(side)).count();
         let left = self.active_links();
         if lost > left {
@@ -36,7 +36,7 @@
         let terms = &self.settings.terms;
         let (lasts, recently) = (terms.run_over_after, terms.standby_silence);
         let is_missing =
-            |side: &SideView| side.session.is_none() && now.since(side.heard) < recently;
+            |side: &SideView| side.session.is_none() && now.since(side.last_received_at) < recently;
         let missing = self.sides.values_mut().filter(|side| is_missing(side));
         missing.for_each(|side| side.awaited_until = now + lasts);
         self.plan_wait_for_links(now);
@@ -44,7 +44,7 @@
 
     fn plan_wait_for_links(&mut self, now: Moment) {
         let missing = self.sides.values().filter(|side| !side.is_resumed);
-        let ends = missing.flat_map(|side| [side.awaited_until, side.awaited_by_new_until]);
+        let ends = missing.flat_map(|side| [side.awaited_until, side.awaited_for_new_jobs_until]);
         self.links_awaited = ends.filter(|end| *end > now).min();
     }
 
--- a/crates/mastknot_core/src/scheduler/claiming.rs
+++ b/crates/mastknot_core/src/scheduler/claiming.rs
@@ -107,7 +107,7 @@
         };
         let (was_granted, is_reclaim) = (job.claim.was_granted, job.claim.is_reclaim());
         let is_awaited = |side: &SideView| {
-            side.awaited_until > now || (!was_granted && side.awaited_by_new_until > now)
+            side.awaited_until > now || (!was_granted && side.awaited_for_new_jobs_until > now)
         };
         let takes_claim = |side: &SideView| side.is_resumed && (is_reclaim || side.takes_claims);
         let sides = self.sides.iter();
@@ -168,7 +168,7 @@
     fn expect_word(&mut self, session: SessionId, by: Moment) {
         let name = self.sessions.get(&session);
         if let Some(side) = name.and_then(|name| self.sides.get_mut(name)) {
-            side.silent_by.get_or_insert(by);
+            side.answer_due.get_or_insert(by);
             self.sides_due = Some(self.sides_due.map_or(by, |due| due.min(by)));
         }
     }
--- a/crates/mastknot_core/src/scheduler/class_paces.rs
+++ b/crates/mastknot_core/src/scheduler/class_slowdowns.rs
@@ -44,7 +44,7 @@
 /// Guesses are off by a factor that differs by queue, and queues go to classes in unequal parts. So only runs of the same
 /// queue on different classes are compared.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ClassPaces {
+pub(crate) struct ClassSlowdowns {
     cells: HashMap<(Arc<str>, Arc<str>), Cell>,
     noted: u32,
     /// Whether the paces have to be worked out again with the next run.
@@ -52,7 +52,7 @@
     paces: BTreeMap<Arc<str>, f64>,
 }
 
-impl ClassPaces {
+impl ClassSlowdowns {
     /// A run of a queue has done its work on a target of a class; returns whether paces may have to be worked out again.
     pub(crate) fn note(
         &mut self,
--- a/crates/mastknot_core/src/scheduler/contained_kinds.rs
+++ b/crates/mastknot_core/src/scheduler/contained_kinds.rs
@@ -50,7 +50,7 @@
         }
         self.note_crashed_sides(crash);
         // A kind that is contained already may have crashed one more side.
-        self.reassign_parts();
+        self.reassign_reserved_sides();
         if contained.is_empty() {
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     /// Releases the kinds that have shown to be sound.
-    pub(super) fn release_kinds(&mut self, now: Moment) {
+    pub(super) fn release_healthy_kinds(&mut self, now: Moment) {
         if self.containment.is_empty() {
             return;
         }
@@ -129,13 +129,13 @@
 
     /// How long a task of a kind that has a part of the targets ran until its target crashed. Where there are too few
     /// targets for a part, a contained kind is treated like any other.
-    pub(super) fn kept_apart(&self, kind: TaskKind) -> Option<Duration> {
+    pub(super) fn isolated_time_to_crash(&self, kind: TaskKind) -> Option<Duration> {
         let has_part = self.kinds_with_own_targets.contains(&kind);
         has_part.then(|| self.containment.ran(kind)).flatten()
     }
 
     /// Links have come or gone, or a kind has crashed a target.
-    pub(super) fn reassign_parts(&mut self) {
+    pub(super) fn reassign_reserved_sides(&mut self) {
         if !self.containment.is_empty() {
             self.assign_parts();
         }
@@ -145,7 +145,7 @@
     fn assign_parts(&mut self) {
         self.sides
             .values_mut()
-            .for_each(|side| side.kept_for = None);
+            .for_each(|side| side.reserved_for = None);
         let linked = self.sides.values().filter(|side| side.session.is_some());
         let linked = linked.count();
         let kinds: Vec<(TaskKind, f64)> = self.containment.contained().collect();
@@ -161,7 +161,7 @@
             left -= count;
             self.kinds_with_own_targets.push(kind);
             for place in self.first_places(kind, count) {
-                self.sides[place].kept_for = Some(kind);
+                self.sides[place].reserved_for = Some(kind);
             }
         }
     }
@@ -170,7 +170,8 @@
     /// others lose no more to it than these, and then by rank.
     fn first_places(&self, kind: TaskKind, count: usize) -> Vec<usize> {
         let sides = self.sides.iter().enumerate();
-        let open = sides.filter(|(_, (_, side))| side.session.is_some() && side.kept_for.is_none());
+        let open =
+            sides.filter(|(_, (_, side))| side.session.is_some() && side.reserved_for.is_none());
         let crashed = self.containment.crashed_sides(kind);
         let turn = |name: &NodeName| crashed.iter().position(|side| side == name);
         let ranked = open.map(|(place, (name, _))| {
@@ -185,7 +186,7 @@
 
     /// The places of the sides that would be kept for a kind. A suspect is tried there first: should its kind be contained
     /// then, the others have lost no target of theirs to that.
-    pub(super) fn likely_part(&self, kind: TaskKind) -> Vec<usize> {
+    pub(super) fn prospective_reserved_sides(&self, kind: TaskKind) -> Vec<usize> {
         let linked = self.sides.values().filter(|side| side.session.is_some());
         let count = part_size(linked.count(), self.part_for(kind));
         self.first_places(kind, count)
@@ -220,13 +221,13 @@
 
     fn part_of(&self, kind: TaskKind) -> impl Iterator<Item = &SideView> {
         let sides = self.sides.values();
-        sides.filter(move |side| side.kept_for == Some(kind))
+        sides.filter(move |side| side.reserved_for == Some(kind))
     }
 
     /// The contained kind of a job, if it has tasks of one.
     pub(super) fn contained_kind(&self, job: &ActiveJob) -> Option<TaskKind> {
         let mut kinds = job.kinds.iter().copied();
-        kinds.find(|kind| self.kept_apart(*kind).is_some())
+        kinds.find(|kind| self.isolated_time_to_crash(*kind).is_some())
     }
 
     /// Gives up a job of a contained kind under which a target has crashed as under others of its kind: each further start
@@ -246,7 +247,7 @@
         let open = job.tasks.iter().enumerate();
         let mut open = open.filter(|(_, task)| task.state != TaskState::Done);
         open.any(|(place, task)| {
-            let usual = self.kept_apart(job.kind(place));
+            let usual = self.isolated_time_to_crash(job.kind(place));
             let own = self.crashes.suspect_ran(&task.name);
             usual
                 .zip(own)
@@ -262,7 +263,7 @@
     }
 
     /// Whether a job's kind is contained and none of its targets takes work.
-    pub(super) fn has_closed_part(&self, id: JobId) -> bool {
+    pub(super) fn has_no_usable_reserved_side(&self, id: JobId) -> bool {
         let job = self.jobs.get(&id);
         let Some(kind) = job.and_then(|job| self.contained_kind(job)) else {
             return false;
@@ -272,7 +273,7 @@
     }
 
     /// Whether a job's task may run at a side as far as kinds are kept apart.
-    pub(super) fn is_in_part(
+    pub(super) fn is_allowed_by_isolation(
         &self,
         now: Moment,
         job: &ActiveJob,
@@ -280,15 +281,15 @@
         side: &SideView,
     ) -> bool {
         let kind = job.kind(task);
-        if self.kept_apart(kind).is_none() {
-            return side.kept_for.is_none();
+        if self.isolated_time_to_crash(kind).is_none() {
+            return side.reserved_for.is_none();
         }
-        side.kept_for == Some(kind) && !side.is_tried_by_other(now, job.request.id)
+        side.reserved_for == Some(kind) && !side.is_tried_by_other(now, job.request.id)
     }
 
     /// What a task of a contained kind pays for a target besides.
-    pub(super) fn apart_penalty(&self, job: &ActiveJob, task: usize, name: &NodeName) -> u32 {
-        if self.kept_apart(job.kind(task)).is_none() {
+    pub(super) fn scatter_penalty(&self, job: &ActiveJob, task: usize, name: &NodeName) -> u32 {
+        if self.isolated_time_to_crash(job.kind(task)).is_none() {
             return 0;
         }
         let mut runs_elsewhere = false;
@@ -303,8 +304,8 @@
     }
 
     /// A side has turned a task away because another job of its kind is on trial there.
-    pub(super) fn note_other_trial(&mut self, now: Moment, side: &NodeName, kind: TaskKind) {
-        let Some(ran) = self.kept_apart(kind) else {
+    pub(super) fn record_other_trial(&mut self, now: Moment, side: &NodeName, kind: TaskKind) {
+        let Some(ran) = self.isolated_time_to_crash(kind) else {
             return;
         };
         if let Some(view) = self.sides.get_mut(side) {
@@ -319,7 +320,10 @@
         if !last.is_contained {
             return None;
         }
-        let kept = self.sides.values().filter(|side| side.kept_for.is_some());
+        let kept = self
+            .sides
+            .values()
+            .filter(|side| side.reserved_for.is_some());
         let ends = kept.filter_map(|side| side.trial.map(|trial| trial.until));
         ends.filter(|until| *until > self.last_event_at).min()
     }
--- a/crates/mastknot_core/src/scheduler/containment.rs
+++ b/crates/mastknot_core/src/scheduler/containment.rs
@@ -225,7 +225,7 @@
     }
 
     /// A run of the kind has done its work.
-    pub(crate) fn note_done(&mut self, kind: TaskKind) {
+    pub(crate) fn record_success(&mut self, kind: TaskKind) {
         if let Some(known) = self
             .kinds
             .get_mut(&kind)
@@ -271,7 +271,7 @@
     }
 
     /// When time alone releases a kind.
-    pub(crate) fn due(&self) -> Option<Moment> {
+    pub(crate) fn release_due(&self) -> Option<Moment> {
         let contained = self.kinds.values().filter(|known| known.is_contained());
         contained
             .map(|known| known.last_crash + MOST_CONTAINED)
--- a/crates/mastknot_core/src/scheduler/crash_memory.rs
+++ b/crates/mastknot_core/src/scheduler/crash_history.rs
@@ -44,14 +44,14 @@
 ///
 /// Each entry hears of all crashes, so that a job that comes again at another entry does not begin at nought.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct CrashMemory {
+pub(crate) struct CrashHistory {
     known: VecDeque<KnownCrash>,
     /// The runs of each task whose targets crashed, in the order of the crashes.
     runs: BTreeMap<TaskRef, Vec<RunAtCrash>>,
     next_number: u64,
 }
 
-impl CrashMemory {
+impl CrashHistory {
     /// Takes a crash in; returns whether it is news.
     pub(crate) fn note(&mut self, now: Moment, side: &NodeName, crash: &TargetCrash) -> bool {
         self.forget_old(now);
--- a/crates/mastknot_core/src/scheduler/drained_halls.rs
+++ b/crates/mastknot_core/src/scheduler/drained_halls.rs
@@ -14,14 +14,14 @@
     ///
     /// Each linked side is told at once, on standby too: it turns starts away itself, also those of entries that are
     /// cut off from the store. What waits is looked at again in this same step.
-    pub(super) fn learn_drained_halls(&mut self, now: Moment, drained: &Arc<DrainedHalls>) {
+    pub(super) fn update_drained_halls(&mut self, now: Moment, drained: &Arc<DrainedHalls>) {
         if !drained.is_newer_than(&self.drained_halls) {
             return;
         }
         self.drained_halls = Arc::clone(drained);
         for side in self.sides.values_mut() {
             side.is_hall_drained = drained.contains(&side.hall);
-            side.owes_heartbeat = side.session.is_some();
+            side.needs_heartbeat = side.session.is_some();
         }
         self.sides_due = Some(now);
         let runs = self.runs_in_drained_halls();
@@ -45,7 +45,7 @@
     }
 
     /// Whether every linked side stands in a drained hall: until operators return one nothing can run.
-    pub(super) fn has_no_hall_left(&self) -> bool {
+    pub(super) fn are_all_halls_drained(&self) -> bool {
         if self.drained_halls.halls.is_empty() {
             return false;
         }
@@ -55,17 +55,17 @@
 
     /// Refuses all that has not begun once no hall is left: holding it back would only cost its callers time.
     fn refuse_without_halls(&mut self, now: Moment) {
-        if !self.has_no_hall_left() {
+        if !self.are_all_halls_drained() {
             return;
         }
         let waiting: Vec<JobId> = self.waiting.values().copied().collect();
         for id in waiting {
-            self.refuse_not_begun(now, id);
+            self.refuse_if_not_started(now, id);
         }
     }
 
     /// Refuses a job of which nothing has begun.
-    pub(super) fn refuse_not_begun(&mut self, now: Moment, id: JobId) {
+    pub(super) fn refuse_if_not_started(&mut self, now: Moment, id: JobId) {
         let is_new = |job: &ActiveJob| !job.may_have_run();
         if self.jobs.get(&id).is_some_and(is_new) {
             let retry_after = self.retry_after(now, id);
--- a/crates/mastknot_core/src/scheduler/forecast.rs
+++ b/crates/mastknot_core/src/scheduler/forecast.rs
@@ -14,15 +14,15 @@
     /// The room that is taken by what goes before it at its own entry, in thousandths of a core.
     pub ahead: u64,
     /// The room that its own waiting tasks take, in thousandths of a core.
-    pub room: u64,
+    pub required_capacity: u64,
     /// How long tasks run that were placed of late: so long the room that comes free has been held.
     pub held_for: Duration,
     /// The room that the smallest of its waiting tasks takes.
     pub smallest: Capacity,
     /// More urgent work that is expected to arrive at its entry, in thousandths of a core.
-    pub arriving: f64,
+    pub arriving_rate: f64,
     /// What the entry has got of the room that it was said to get, as a ratio.
-    pub had: f64,
+    pub obtained_ratio: f64,
 }
 
 /// When a job would find room for all of its waiting tasks, from what is observed.
@@ -40,13 +40,13 @@
     ///
     /// What arrives meanwhile and is more urgent takes its part of that rate, at the other entries as well as here.
     pub fn of(view: &LoadView, input: &ForecastInput) -> Self {
-        let left = 1.0 - input.arriving / view.even_rate();
-        let rate = view.rate(input.rank) * input.had * left;
-        if input.ahead == 0 && view.has_room_for(&input.smallest) {
+        let left = 1.0 - input.arriving_rate / view.even_rate();
+        let rate = view.rate(input.rank) * input.obtained_ratio * left;
+        if input.ahead == 0 && view.has_capacity_for(&input.smallest) {
             let wait = Some(Duration::ZERO);
             return Self { wait, rate };
         }
-        let room = (input.ahead + input.room) as f64;
+        let room = (input.ahead + input.required_capacity) as f64;
         let wait = time_for(room, rate, input.held_for);
         Self { wait, rate }
     }
@@ -59,7 +59,7 @@
     }
 
     /// Whether a target is believed to have room for a task.
-    pub fn has_room_for(&self, task: &Capacity) -> bool {
+    pub fn has_capacity_for(&self, task: &Capacity) -> bool {
         self.sides.iter().any(|side| side.free.covers(task))
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// The age of the oldest report that counts.
-    pub fn oldest(&self) -> Duration {
+    pub fn max_report_age(&self) -> Duration {
         let ages = self.sides.iter().map(|side| side.age);
         ages.max().unwrap_or_default()
     }
@@ -104,7 +104,7 @@
 impl KnownLoad {
     /// What its target does, in thousandths of a core of usual speed.
     fn rate(&self) -> f64 {
-        f64::from(self.capacity.cpu_millis) / self.pace
+        f64::from(self.capacity.cpu_millis) / self.slowdown
     }
 
     fn even_rate(&self) -> f64 {
--- a/crates/mastknot_core/src/scheduler/forecast_errors.rs
+++ b/crates/mastknot_core/src/scheduler/forecast_errors.rs
@@ -16,7 +16,7 @@
 
 impl ForecastErrors {
     /// A job of a queue was to wait for `said` and has waited for `seen`.
-    pub(crate) fn note(&mut self, queue: &Arc<str>, said: Duration, seen: Duration) {
+    pub(crate) fn record(&mut self, queue: &Arc<str>, said: Duration, seen: Duration) {
         if !self.queues.contains_key(queue) && self.queues.len() >= MAX_QUEUES {
             return;
         }
--- a/crates/mastknot_core/src/scheduler/whole_starts.rs
+++ b/crates/mastknot_core/src/scheduler/gang_starts.rs
@@ -20,7 +20,7 @@
     /// Until when a job waits for room for all its tasks; none if it begins with what there is.
     ///
     /// Where room is granted it comes in small pieces, and the queues' priorities decide.
-    pub(super) fn waits_whole_until(&self, now: Moment, id: JobId) -> Option<Moment> {
+    pub(super) fn waits_for_gang_until(&self, now: Moment, id: JobId) -> Option<Moment> {
         let job = self.jobs.get(&id)?;
         let turn = job.stops_yielding_at();
         let may_wait = !self.uses_capacity_grants()
@@ -33,7 +33,7 @@
     }
 
     /// Whether all tasks of a job find room now.
-    pub(super) fn fits_whole(&self, now: Moment, id: JobId, candidates: &[Candidate]) -> bool {
+    pub(super) fn fits_gang(&self, now: Moment, id: JobId, candidates: &[Candidate]) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return true;
         };
@@ -75,7 +75,8 @@
             if left == 0 {
                 break;
             }
-            let is_open = may_run(job, task, side) && self.is_in_part(now, job, task, side);
+            let is_open =
+                may_run(job, task, side) && self.is_allowed_by_isolation(now, job, task, side);
             let most = if is_tried { 1 } else { most };
             let places = (room.count_of(&step.required_capacity) as usize).min(most);
             left = left.saturating_sub(if is_open { places } else { 0 });
@@ -88,8 +89,8 @@
         let waiting = job.waiting_tasks();
         let step = |task: &usize| job.tasks[*task].name.step;
         let first = waiting.first().map(step);
-        waiting
-            .iter()
-            .all(|task| Some(step(task)) == first && self.suspect_by_itself(job, *task).is_none())
+        waiting.iter().all(|task| {
+            Some(step(task)) == first && self.individual_suspect_time(job, *task).is_none()
+        })
     }
 }
--- a/crates/mastknot_core/src/scheduler/held_grants.rs
+++ b/crates/mastknot_core/src/scheduler/held_grants.rs
@@ -83,7 +83,7 @@
         }
         let used = self.sides.values_mut();
         let used = used.filter(|side| side.takes_work());
-        used.for_each(|side| side.owes_heartbeat = true);
+        used.for_each(|side| side.needs_heartbeat = true);
         self.sides_due = Some(now);
     }
 
@@ -161,7 +161,7 @@
             if let Some((_, side)) = self.sides.get_index_mut(self.next_told)
                 && side.takes_work()
             {
-                side.owes_heartbeat = true;
+                side.needs_heartbeat = true;
                 told += 1;
             }
         }
--- a/crates/mastknot_core/src/scheduler/job_ends.rs
+++ b/crates/mastknot_core/src/scheduler/job_ends.rs
@@ -26,7 +26,10 @@
             return;
         };
         self.count_end(ended.end);
-        let pace = self.sides.get(side).map_or(1.0, |view| self.pace_at(view));
+        let pace = self
+            .sides
+            .get(side)
+            .map_or(1.0, |view| self.slowdown_at(view));
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -68,7 +71,7 @@
         }
         if matches!(ended.end, EndOfRun::NotRun(_)) {
             job.not_begun += 1;
-            self.demand.had.take_back(job.task_work(place));
+            self.demand.obtained.subtract(job.task_work(place));
         }
         let kind = job.kind(place);
         let room = job.step(place).required_capacity;
@@ -93,17 +96,17 @@
             self.answer(now, id, JobAnswer::Failed { cause });
         }
         if ended.end == EndOfRun::Crashed {
-            self.give_up_guilty(now, run.task);
+            self.give_up_if_confirmed(now, run.task);
             self.give_up_suspect(now, id);
         }
         if ended.end == EndOfRun::Done {
             self.learn_run_time(id, run.task.step);
-            self.learn_pace(&queue, side, guess, ended.ran());
-            self.kind_loads.note(kind, &room, ended.ran());
-            self.containment.note_done(kind);
+            self.record_slowdown(&queue, side, guess, ended.ran());
+            self.kind_loads.record(kind, &room, ended.ran());
+            self.containment.record_success(kind);
         }
         if ended.end == EndOfRun::NotRun(NotRunCause::OtherSuspect) {
-            self.note_other_trial(now, side, kind);
+            self.record_other_trial(now, side, kind);
         }
         self.after_end(now, id, ended.end);
     }
@@ -116,7 +119,7 @@
         if let Some(work) = job.longest_work(step)
             && let Some(spec) = job.request.steps.get(usize::from(step))
         {
-            self.run_times.note(&job.policy.name, spec.estimate, work);
+            self.run_times.record(&job.policy.name, spec.estimate, work);
         }
     }
 
--- a/crates/mastknot_core/src/scheduler/job_scheduler.rs
+++ b/crates/mastknot_core/src/scheduler/job_scheduler.rs
@@ -5,13 +5,13 @@
 
 use super::active_job::ActiveJob;
 use super::active_links::ActiveLinks;
-use super::class_paces::ClassPaces;
+use super::class_slowdowns::ClassSlowdowns;
 use super::containment::Containment;
-use super::crash_memory::CrashMemory;
+use super::crash_history::CrashHistory;
 use super::demand_forecast::DemandForecast;
 use super::held_grants::ToldNeed;
 use super::kind_loads::KindLoads;
-use super::learned_beliefs::LearnedBeliefs;
+use super::learned_priors::LearnedPriors;
 use super::run_times::RunTimes;
 use super::side_links::Greeting;
 use super::side_view::SideView;
@@ -70,10 +70,10 @@
     pub(super) next_sequence: u64,
     pub(super) run_times: RunTimes,
     /// Crashes of targets, and what ran there.
-    pub(super) crashes: CrashMemory,
+    pub(super) crashes: CrashHistory,
     pub(super) kind_loads: KindLoads,
-    pub(super) class_slowdowns: ClassPaces,
-    pub(super) priors: LearnedBeliefs,
+    pub(super) class_slowdowns: ClassSlowdowns,
+    pub(super) priors: LearnedPriors,
     /// Kinds of tasks that are kept to a part of the targets.
     pub(super) containment: Containment,
     /// Those of them that have a part.
@@ -129,10 +129,10 @@
             documents: DocumentServer::default(),
             next_sequence: 0,
             run_times: RunTimes::default(),
-            crashes: CrashMemory::default(),
+            crashes: CrashHistory::default(),
             kind_loads: KindLoads::default(),
-            class_slowdowns: ClassPaces::default(),
-            priors: LearnedBeliefs::default(),
+            class_slowdowns: ClassSlowdowns::default(),
+            priors: LearnedPriors::default(),
             containment: Containment::default(),
             kinds_with_own_targets: Vec::new(),
             last_event_at: Moment::default(),
@@ -163,7 +163,7 @@
         self.look_after_claims(now);
         self.handle(now, event);
         self.end_lost_runs(now);
-        self.release_kinds(now);
+        self.release_healthy_kinds(now);
         self.place_waiting(now);
         self.review_waiting(now);
         self.adjust_active_links(now);
@@ -192,9 +192,9 @@
             SchedulerEvent::LinkDown { session } => self.link_down(now, session),
             SchedulerEvent::Entries(entries) => self.set_entries(entries),
             SchedulerEvent::Document(document) => self.set_document(document),
-            SchedulerEvent::DrainedHalls(drained) => self.learn_drained_halls(now, &drained),
-            SchedulerEvent::Learned { profile, wall } => self.take_learned(now, &profile, wall),
-            SchedulerEvent::ShareWeights(weights) => self.learn_share_weights(&weights),
+            SchedulerEvent::DrainedHalls(drained) => self.update_drained_halls(now, &drained),
+            SchedulerEvent::Learned { profile, wall } => self.apply_learned(now, &profile, wall),
+            SchedulerEvent::ShareWeights(weights) => self.update_share_weights(&weights),
             SchedulerEvent::Tick => {}
         }
     }
@@ -257,7 +257,7 @@
             .chain(self.review_due())
             .chain(self.relay_due())
             .chain(self.active_links_due())
-            .chain(self.containment.due())
+            .chain(self.containment.release_due())
             .chain(self.trials_due())
             .min()
     }
--- a/crates/mastknot_core/src/scheduler/kind_loads.rs
+++ b/crates/mastknot_core/src/scheduler/kind_loads.rs
@@ -20,7 +20,7 @@
 
 impl KindLoads {
     /// A run has done its work.
-    pub(crate) fn note(&mut self, kind: TaskKind, room: &Capacity, ran: Duration) {
+    pub(crate) fn record(&mut self, kind: TaskKind, room: &Capacity, ran: Duration) {
         self.loads.values_mut().for_each(|load| *load *= FADING);
         self.runs = self.runs.saturating_add(1);
         if self.loads.len() == MAX_KINDS && !self.loads.contains_key(&kind) {
--- a/crates/mastknot_core/src/scheduler/learned.rs
+++ b/crates/mastknot_core/src/scheduler/learned.rs
@@ -10,10 +10,10 @@
     /// What it believes now; without ranked queues it has no paces of its own to tell, and passes on what it has read.
     pub fn learned(&self) -> LearnedProfile {
         let suspects = self.containment.learned();
-        if !self.priors.has_ranked {
+        if !self.priors.has_ranked_queue {
             return LearnedProfile {
                 suspects,
-                ..self.priors.waiting.clone()
+                ..self.priors.pending.clone()
             };
         }
         LearnedProfile {
@@ -37,7 +37,7 @@
             written_ms: wall.as_millis(),
             ..self.learned()
         };
-        let news = profile_update(known, &profile, self.priors.has_ranked)?;
+        let news = profile_update(known, &profile, self.priors.has_ranked_queue)?;
         let place = self.writer_place();
         Some(ProfileOffer {
             profile,
@@ -56,7 +56,7 @@
     }
 
     /// Takes what was read. Suspects count at once, whatever queues there are: finding them again costs targets.
-    pub(super) fn take_learned(&mut self, now: Moment, profile: &LearnedProfile, wall: WallTime) {
+    pub(super) fn apply_learned(&mut self, now: Moment, profile: &LearnedProfile, wall: WallTime) {
         if !self.settings.scarcity.profile {
             return;
         }
@@ -69,25 +69,25 @@
         });
         let aged = profile.aged(wall);
         self.contain_learned(now, &aged.suspects);
-        self.priors.waiting = LearnedProfile {
+        self.priors.pending = LearnedProfile {
             suspects: Vec::new(),
             ..aged
         };
-        if self.priors.has_ranked {
+        if self.priors.has_ranked_queue {
             self.use_waiting_beliefs();
         }
     }
 
     /// A job has come to a ranked queue: what others have learned of paces is of use.
-    pub(super) fn use_beliefs(&mut self) {
-        if !self.priors.has_ranked {
-            self.priors.has_ranked = true;
+    pub(super) fn activate_priors(&mut self) {
+        if !self.priors.has_ranked_queue {
+            self.priors.has_ranked_queue = true;
             self.use_waiting_beliefs();
         }
     }
 
     fn use_waiting_beliefs(&mut self) {
-        let waiting = std::mem::take(&mut self.priors.waiting);
+        let waiting = std::mem::take(&mut self.priors.pending);
         for times in &waiting.run_times {
             self.run_times.believe(times);
         }
--- a/crates/mastknot_core/src/scheduler/learned_beliefs.rs
+++ b/crates/mastknot_core/src/scheduler/learned_priors.rs
@@ -5,9 +5,9 @@
 /// Whether queues are ranked is known with the first job. Until then paces wait here, so that those of a deployment without
 /// ranked queues stay what its own runs say.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LearnedBeliefs {
+pub(crate) struct LearnedPriors {
     /// Whether a ranked queue has been seen.
-    pub(crate) has_ranked: bool,
+    pub(crate) has_ranked_queue: bool,
     /// Paces and run times that wait.
-    pub(crate) waiting: LearnedProfile,
+    pub(crate) pending: LearnedProfile,
 }
--- a/crates/mastknot_core/src/scheduler/load_view.rs
+++ b/crates/mastknot_core/src/scheduler/load_view.rs
@@ -22,7 +22,7 @@
     /// What its target has in all.
     pub capacity: Capacity,
     /// How long work takes there against the middle of all targets: 2 for half as fast.
-    pub pace: f64,
+    pub slowdown: f64,
     /// The room that is believed to be free for this entry.
     pub free: Capacity,
     /// What waits there.
--- a/crates/mastknot_core/src/scheduler/mean_waiting.rs
+++ b/crates/mastknot_core/src/scheduler/mean_waiting.rs
@@ -18,7 +18,7 @@
 
 impl MeanWaiting {
     /// What waits now.
-    pub(crate) fn note(&mut self, now: Moment, waiting: &[RankedWork]) {
+    pub(crate) fn record(&mut self, now: Moment, waiting: &[RankedWork]) {
         let passed = now.since(self.at);
         self.at = now;
         let left = (-passed.as_secs_f64() / OVER.as_secs_f64()).exp();
--- a/crates/mastknot_core/src/scheduler/observed_load.rs
+++ b/crates/mastknot_core/src/scheduler/observed_load.rs
@@ -16,16 +16,16 @@
 impl JobScheduler {
     /// What is known of the load: for admission, return times and operators.
     pub fn load_view(&self, now: Moment) -> LoadView {
-        self.load_view_of(now, |_| true)
+        self.load_view_where(now, |_| true)
     }
 
     /// The same for the sides that are wanted.
-    pub(super) fn load_view_of(
+    pub(super) fn load_view_where(
         &self,
         now: Moment,
         is_used: impl Fn(&SideView) -> bool,
     ) -> LoadView {
-        let own = self.own_waiting();
+        let own = self.own_waiting_work();
         let untold = self.untold_load(&own);
         let sides = self.sides.iter();
         let used = sides.filter(|(_, side)| side.takes_work() && is_used(side));
@@ -36,10 +36,14 @@
                 .target
                 .as_ref()
                 .map_or(Capacity::default(), |it| it.capacity),
-            pace: self.pace_at(side),
+            slowdown: self.slowdown_at(side),
             free: side.free(),
             load: side_load(side, &untold),
-            age: now.since(side.load.as_ref().map_or(side.heard, |(_, told)| *told)),
+            age: now.since(
+                side.load
+                    .as_ref()
+                    .map_or(side.last_received_at, |(_, told)| *told),
+            ),
         });
         LoadView {
             sides: known.collect(),
@@ -48,7 +52,7 @@
     }
 
     /// What waits here by rank, the most urgent first.
-    pub(super) fn own_waiting(&self) -> Vec<RankedWork> {
+    pub(super) fn own_waiting_work(&self) -> Vec<RankedWork> {
         let mut ranks: BTreeMap<u8, u64> = BTreeMap::new();
         let free = self.waiting.range(..OrderKey::FIRST_CONTAINED);
         for (key, id) in free.take(MOST_SUMMED) {
--- a/crates/mastknot_core/src/scheduler/room_had.rs
+++ b/crates/mastknot_core/src/scheduler/obtained_capacity.rs
@@ -16,7 +16,7 @@
 ///
 /// It takes in what the load does not tell: packing, room held by long tasks, needs that reports are late with.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct RoomHad {
+pub(crate) struct ObtainedCapacity {
     at: Moment,
     /// What it is said to get now, in thousandths of a core; none while nothing waits.
     said_rate: Option<f64>,
@@ -25,22 +25,22 @@
     had: f64,
 }
 
-impl RoomHad {
+impl ObtainedCapacity {
     /// What the entry is said to get from now on; none while nothing waits.
-    pub(crate) fn say(&mut self, now: Moment, rate: Option<f64>) {
+    pub(crate) fn set_expected_rate(&mut self, now: Moment, rate: Option<f64>) {
         self.advance(now);
         self.said_rate = rate;
     }
 
     /// Work was placed.
-    pub(crate) fn note(&mut self, work: u64) {
+    pub(crate) fn record(&mut self, work: u64) {
         if self.said_rate.is_some() {
             self.had += work as f64;
         }
     }
 
     /// Placed work was turned away.
-    pub(crate) fn take_back(&mut self, work: u64) {
+    pub(crate) fn subtract(&mut self, work: u64) {
         if self.said_rate.is_some() {
             self.had = (self.had - work as f64).max(0.0);
         }
--- a/crates/mastknot_core/src/scheduler/order_key.rs
+++ b/crates/mastknot_core/src/scheduler/order_key.rs
@@ -93,7 +93,7 @@
 
 impl ActiveJob {
     fn head_start(&self) -> Duration {
-        match self.forecast.has_returned {
+        match self.forecast.has_returned_on_time {
             true => RETURNED_HEAD_START,
             false => Duration::ZERO,
         }
--- a/crates/mastknot_core/src/scheduler/placed_mean.rs
+++ b/crates/mastknot_core/src/scheduler/placed_mean.rs
@@ -15,7 +15,7 @@
 impl PlacedMean {
     /// A task was placed that takes this room, in thousandths of a core, and is expected to do this work, in thousandths of
     /// a core times milliseconds.
-    pub(crate) fn note(&mut self, cpu_millis: u32, work: u64) {
+    pub(crate) fn record(&mut self, cpu_millis: u32, work: u64) {
         self.tasks = self.tasks.saturating_add(1);
         let weight = WEIGHT.max(1.0 / f64::from(self.tasks));
         self.room += (f64::from(cpu_millis) - self.room) * weight;
@@ -23,7 +23,7 @@
     }
 
     /// The mean time; none before anything was placed.
-    pub(crate) fn run(&self) -> Option<Duration> {
+    pub(crate) fn mean_run_time(&self) -> Option<Duration> {
         let is_known = self.room > 0.0;
         is_known.then(|| Duration::from_secs_f64(self.work / self.room / 1_000.0))
     }
--- a/crates/mastknot_core/src/scheduler/placing.rs
+++ b/crates/mastknot_core/src/scheduler/placing.rs
@@ -64,8 +64,8 @@
     fn place_jobs(&mut self, now: Moment, jobs: &[JobId], candidates: &[Candidate]) -> usize {
         let mut misses = 0;
         for id in jobs {
-            let waits = self.waits_whole_until(now, *id).is_some();
-            if waits && !self.fits_whole(now, *id, candidates) {
+            let waits = self.waits_for_gang_until(now, *id).is_some();
+            if waits && !self.fits_gang(now, *id, candidates) {
                 continue;
             }
             if candidates.is_empty() || !self.place_job(now, *id, candidates) {
@@ -83,7 +83,7 @@
     /// tasks that wait are compared with these only.
     fn candidates(&self, now: Moment) -> Vec<Candidate> {
         let sides = self.sides.values().enumerate();
-        let with_room = sides.filter(|(_, side)| side.takes_work() && side.has_room());
+        let with_room = sides.filter(|(_, side)| side.takes_work() && side.has_free_capacity());
         let with_room: Vec<usize> = with_room.map(|(place, _)| place).collect();
         if with_room.is_empty() {
             return Vec::new();
@@ -133,7 +133,7 @@
             }
         }
         if let Some(need) = need.as_mut().filter(|_| self.uses_capacity_grants()) {
-            need.by_rank = self.own_waiting();
+            need.by_rank = self.own_waiting_work();
         }
         need
     }
@@ -175,7 +175,7 @@
 
     fn median_pace(&self) -> u32 {
         let sides = self.sides.values().filter(|side| side.takes_work());
-        let mut paces: Vec<u32> = sides.map(|side| side.pace_percent).collect();
+        let mut paces: Vec<u32> = sides.map(|side| side.slowdown_percent).collect();
         paces.sort_unstable();
         paces.get(paces.len() / 2).copied().unwrap_or(100)
     }
@@ -223,8 +223,8 @@
         task: usize,
         candidates: &[Candidate],
     ) -> Option<NodeName> {
-        let suspect = self.suspect_by_itself(job, task);
-        let likely = suspect.map(|_| self.likely_part(job.kind(task)));
+        let suspect = self.individual_suspect_time(job, task);
+        let likely = suspect.map(|_| self.prospective_reserved_sides(job.kind(task)));
         let is_unlikely = |place: &usize| likely.as_ref().is_some_and(|part| !part.contains(place));
         let sides = candidates.iter().filter_map(|candidate| {
             let (name, side) = self.sides.get_index(candidate.side_index)?;
@@ -233,14 +233,14 @@
         });
         let fitting = sides.filter(|(_, name, side)| {
             is_suitable(job, task, side)
-                && self.is_in_part(now, job, task, side)
+                && self.is_allowed_by_isolation(now, job, task, side)
                 && has_capacity_for_step(job, task, name)
-                && suspect.is_none_or(|ran| !self.holds_like_suspect(now, ran, side))
+                && suspect.is_none_or(|ran| !self.runs_similar_suspect(now, ran, side))
         });
         let best = fitting.min_by_key(|(place, name, side)| {
             let unlikely = u32::from(is_unlikely(place)) * UNLIKELY_PENALTY;
             let speed = self.speed_penalty(now, job, task, side);
-            score(job, task, name, side) + self.apart_penalty(job, task, name) + unlikely + speed
+            score(job, task, name, side) + self.scatter_penalty(job, task, name) + unlikely + speed
         });
         best.map(|(_, name, _)| name.clone())
     }
@@ -249,18 +249,18 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let crashed_after = self.suspect_by_itself(job, task);
+        let crashed_after = self.individual_suspect_time(job, task);
         let kind = job.kind(task);
-        let kind_crashed_after = self.kept_apart(kind);
+        let kind_crashed_after = self.isolated_time_to_crash(kind);
         let may_wait_ms = self.may_wait_ms();
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let work = job.task_work(task);
-        self.demand.had.note(work);
+        self.demand.obtained.record(work);
         self.demand
-            .placed
-            .note(job.step(task).required_capacity.cpu_millis, work);
+            .placed_mean
+            .record(job.step(task).required_capacity.cpu_millis, work);
         let Some(view) = self.sides.get_mut(side) else {
             return;
         };
@@ -280,14 +280,14 @@
             request_id: Arc::clone(&job.request.request_id),
             side: side.clone(),
             free_cpu_millis: view.free().cpu_millis,
-            view_age_ms: now.since(view.heard).as_millis() as u64,
+            view_age_ms: now.since(view.last_received_at).as_millis() as u64,
             completion_forecast: job
                 .key
                 .map_or(CompletionForecast::InTime, |key| key.outlook),
             waited_ms: now.since(job.arrived).as_millis() as u64,
         };
-        view.note_start(now, run, id, room);
-        let heard = view.heard_number;
+        view.record_start(now, run, id, room);
+        let heard = view.last_report_number;
         if let Some(ran) = kind_crashed_after {
             let until = now + trial_time(ran);
             let job = Some(id);
@@ -343,7 +343,7 @@
 
 fn is_slow(side: &SideView, median_pace: u32) -> bool {
     let limit = median_pace.max(50) * SLOW_AGAINST_MEDIAN_PERCENT / 100;
-    side.pace_percent > limit
+    side.slowdown_percent > limit
 }
 
 /// Now and then a slow target gets a run, which shows when it is quick again.
@@ -373,7 +373,7 @@
         .without(&side.unused())
         .with(&spec.required_capacity);
     let mut score = used.max_permille_of(&capacity);
-    score += side.distance;
+    score += side.preference_penalty;
     if job.tasks[task].avoided.contains(name) {
         score += AVOIDED_PENALTY;
     }
--- a/crates/mastknot_core/src/scheduler/queue_losses.rs
+++ b/crates/mastknot_core/src/scheduler/queue_losses.rs
@@ -55,7 +55,7 @@
 
 impl QueueLosses {
     /// A job of the queue was answered.
-    pub(super) fn note(&mut self, now: Moment, queue: &Arc<str>, is_lost: bool) {
+    pub(super) fn record(&mut self, now: Moment, queue: &Arc<str>, is_lost: bool) {
         if self.queues.len() >= MAX_QUEUES && !self.queues.contains_key(queue) {
             self.queues
                 .retain(|_, answers| answers.all_left(now) >= 1.0);
--- a/crates/mastknot_core/src/scheduler/relaying.rs
+++ b/crates/mastknot_core/src/scheduler/relaying.rs
@@ -30,7 +30,7 @@
             directory: self.directory,
             drained: Arc::clone(&self.drained_halls),
             grants_capacity: self.uses_capacity_grants(),
-            shares_capacity: self.shares_room(),
+            shares_capacity: self.shares_capacity(),
             shares: Arc::clone(&self.weights),
         }
     }
@@ -53,7 +53,7 @@
     /// The holders hear at once of a version, also on standby.
     fn tell_holders(&mut self) {
         for side in self.sides.values_mut() {
-            side.owes_heartbeat |= side.holds_documents;
+            side.needs_heartbeat |= side.holds_documents;
         }
         self.sides_due = Some(self.last_event_at);
     }
@@ -74,7 +74,7 @@
         for (name, side) in &mut self.sides {
             let holds = ranked.iter().any(|(_, holder)| holder == name);
             // A side on standby that holds no more would learn it only after it had fetched a version in vain.
-            side.owes_heartbeat |= holds != side.holds_documents;
+            side.needs_heartbeat |= holds != side.holds_documents;
             side.holds_documents = holds;
         }
     }
--- a/crates/mastknot_core/src/scheduler/reviewing.rs
+++ b/crates/mastknot_core/src/scheduler/reviewing.rs
@@ -7,7 +7,7 @@
 use super::active_job::ActiveJob;
 use super::admission::{Admission, AdmissionInput, REVIEW_INTERVAL};
 use super::forecast::{Forecast, ForecastInput};
-use super::job_forecast::SaidWait;
+use super::job_forecast::ForecastWait;
 use super::job_scheduler::JobScheduler;
 use super::observed_load::serves;
 use super::{LoadView, OrderKey, SchedulerDecision};
@@ -23,23 +23,23 @@
         let is_due = self.review_due().is_some_and(|due| now >= due);
         if !is_due {
             if self.waiting.is_empty() {
-                self.demand.had.say(now, None);
-                self.demand.has_new = false;
+                self.demand.obtained.set_expected_rate(now, None);
+                self.demand.has_new_job = false;
             }
             return;
         }
-        self.demand.looked = now;
-        let own = self.own_waiting();
-        self.demand.waiting.note(now, &own);
-        self.demand.has_new = false;
+        self.demand.reviewed_at = now;
+        let own = self.own_waiting_work();
+        self.demand.waiting.record(now, &own);
+        self.demand.has_new_job = false;
         let services = self.waiting_services().into_iter();
         let views = services.map(|service| {
-            let view = self.load_view_of(now, serves(&service));
+            let view = self.load_view_where(now, serves(&service));
             (service, view)
         });
         let views: Vec<(Arc<str>, LoadView)> = views.collect();
         let rate = views.iter().map(|(_, view)| view.rate(u8::MAX)).sum();
-        self.demand.had.say(now, Some(rate));
+        self.demand.obtained.set_expected_rate(now, Some(rate));
         for (service, view) in &views {
             self.review_service(now, service, view);
         }
@@ -48,9 +48,9 @@
     /// When waiting jobs are to be looked at.
     pub(super) fn review_due(&self) -> Option<Moment> {
         let is_on = self.settings.scarcity.forecast && !self.waiting.is_empty();
-        let due = match self.demand.has_new {
+        let due = match self.demand.has_new_job {
             true => self.last_event_at,
-            false => self.demand.looked + REVIEW_INTERVAL,
+            false => self.demand.reviewed_at + REVIEW_INTERVAL,
         };
         (is_on && self.has_ranked_waiting()).then_some(due)
     }
@@ -60,7 +60,7 @@
         let is_on = |job: &ActiveJob| self.forecasts(job);
         let job = self.jobs.get(&id).filter(|job| is_on(job));
         job.is_some_and(|job| {
-            self.load_view_of(now, serves(&job.policy.service))
+            self.load_view_where(now, serves(&job.policy.service))
                 .is_known()
         })
     }
@@ -72,12 +72,12 @@
         }
         let work = job.whole_work();
         let priority = job.policy.priority;
-        self.demand.arriving.note(now, priority, work);
-        self.demand.has_new = true;
-        job.forecast.has_returned = self.demand.returns.is_kept(now, job.request.id);
-        match job.forecast.has_returned {
+        self.demand.recent_arrivals.record(now, priority, work);
+        self.demand.has_new_job = true;
+        job.forecast.has_returned_on_time = self.demand.retries.is_on_time(now, job.request.id);
+        match job.forecast.has_returned_on_time {
             true => self.counters.jobs_returned += 1,
-            false => self.demand.usual.note(now, priority, work),
+            false => self.demand.usual_arrivals.record(now, priority, work),
         }
     }
 
@@ -87,15 +87,15 @@
             return self.settings.retry_after;
         };
         let work = job.whole_work();
-        let view = self.load_view_of(now, serves(&job.policy.service));
+        let view = self.load_view_where(now, serves(&job.policy.service));
         if !view.is_known() {
             return self.settings.retry_after;
         }
-        let rate = view.rate(u8::MAX) * self.demand.had.ratio();
-        let spare = rate - self.demand.usual.all(now);
+        let rate = view.rate(u8::MAX) * self.demand.obtained.ratio();
+        let spare = rate - self.demand.usual_arrivals.total_rate(now);
         let spare = spare.max(rate * LEAST_SPARE);
-        let wait = job.forecast.denied;
-        self.demand.returns.tell(now, id, wait, work, spare)
+        let wait = job.forecast.refused_wait;
+        self.demand.retries.schedule(now, id, wait, work, spare)
     }
 
     /// All tasks of a job that could wait have been placed: what was forecast of it is compared with what came.
@@ -103,12 +103,12 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let Some(said) = job.forecast.said.take() else {
+        let Some(said) = job.forecast.first_forecast.take() else {
             return;
         };
         let seen = now.since(said.at);
         let queue = Arc::clone(&job.policy.name);
-        self.demand.errors.note(&queue, said.wait, seen);
+        self.demand.errors.record(&queue, said.wait, seen);
         self.record_decision(SchedulerDecision::ForecastSeen {
             job: id,
             queue,
@@ -180,13 +180,14 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return false;
         };
-        job.forecast.doubt(now, admission == Admission::DeniedOnce);
+        job.forecast
+            .record_review(now, admission == Admission::DeniedOnce);
         if input.is_new {
-            job.forecast.is_known = true;
-            job.forecast.said = forecast.wait.map(|wait| SaidWait { at: now, wait });
+            job.forecast.is_reviewed = true;
+            job.forecast.first_forecast = forecast.wait.map(|wait| ForecastWait { at: now, wait });
         }
         if admission == Admission::Refuse {
-            job.forecast.denied = forecast.wait;
+            job.forecast.refused_wait = forecast.wait;
             self.refuse_denied(now, id, &input, ahead, view);
         }
         admission == Admission::Refuse
@@ -223,7 +224,7 @@
             error_ms: input.error.as_millis() as u64,
             ahead_cpu_millis: ahead,
             free_cpu_millis: free.max().unwrap_or_default(),
-            view_age_ms: view.oldest().as_millis() as u64,
+            view_age_ms: view.max_report_age().as_millis() as u64,
             retry_after_ms: retry_after.as_millis() as u64,
         });
         self.answer(now, id, JobAnswer::Refused { retry_after });
@@ -237,15 +238,18 @@
         job: &ActiveJob,
         ahead: u64,
     ) -> Forecast {
-        let placed = self.demand.placed.run();
+        let placed = self.demand.placed_mean.mean_run_time();
         let input = ForecastInput {
             rank: key.rank(),
             ahead,
-            room: job.waiting_room(),
+            required_capacity: job.waiting_room(),
             held_for: placed.unwrap_or(job.remaining_chain()),
             smallest: job.smallest_waiting(),
-            arriving: self.demand.arriving.before(now, job.policy.priority),
-            had: self.demand.had.ratio(),
+            arriving_rate: self
+                .demand
+                .recent_arrivals
+                .rate_before(now, job.policy.priority),
+            obtained_ratio: self.demand.obtained.ratio(),
         };
         Forecast::of(view, &input)
     }
@@ -257,8 +261,8 @@
             left: job.times.objective.min(job.deadline).since(now),
             error: self.demand.errors.mean(&job.policy.name),
             has_room: false,
-            is_new: !job.forecast.is_known,
-            was_denied_before: job.forecast.was_doubted(now),
+            is_new: !job.forecast.is_reviewed,
+            was_denied_before: job.forecast.was_denied_before(now),
         }
     }
 }
--- a/crates/mastknot_core/src/scheduler/run_times.rs
+++ b/crates/mastknot_core/src/scheduler/run_times.rs
@@ -40,7 +40,7 @@
 
 impl RunTimes {
     /// A step with this guess has ended, and its longest task ran for this time.
-    pub(crate) fn note(&mut self, queue: &Arc<str>, guess: Duration, ran: Duration) {
+    pub(crate) fn record(&mut self, queue: &Arc<str>, guess: Duration, ran: Duration) {
         if !self.queues.contains_key(queue) && self.queues.len() >= MAX_QUEUES {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /// How long a step with this guess is expected to take.
-    pub(crate) fn expect(&self, queue: &str, guess: Duration) -> Duration {
+    pub(crate) fn predict(&self, queue: &str, guess: Duration) -> Duration {
         let Some(times) = self.queues.get(queue) else {
             return guess;
         };
--- a/crates/mastknot_core/src/scheduler/share_weights.rs
+++ b/crates/mastknot_core/src/scheduler/share_weights.rs
@@ -14,7 +14,7 @@
 
 impl JobScheduler {
     /// Takes the weights of halls; what is older changes nothing. Sides hear of them with the next heartbeat.
-    pub(super) fn learn_share_weights(&mut self, weights: &Arc<ShareWeights>) {
+    pub(super) fn update_share_weights(&mut self, weights: &Arc<ShareWeights>) {
         if !weights.is_newer_than(&self.weights) {
             return;
         }
@@ -29,12 +29,12 @@
     }
 
     /// A job is handed in to a ranked queue.
-    pub(super) fn note_ranked_job(&mut self, now: Moment) {
+    pub(super) fn record_ranked_job(&mut self, now: Moment) {
         self.last_ranked_submission = Some(now);
     }
 
     /// Whether sides are to share room that is short between halls.
-    pub(super) fn shares_room(&self) -> bool {
+    pub(super) fn shares_capacity(&self) -> bool {
         let is_ranked = self
             .last_ranked_submission
             .is_some_and(|at| self.last_event_at.since(at) <= RANKED_FOR);
--- a/crates/mastknot_core/src/scheduler/side_links.rs
+++ b/crates/mastknot_core/src/scheduler/side_links.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::job_scheduler::JobScheduler;
-use super::side_view::{LinkDuty, SideView};
+use super::side_view::{LinkMode, SideView};
 use super::{SchedulerDecision, SchedulerEffect, SessionId};
 use crate::job::{
     AdoptedRun, EndOfRun, EndedRun, EntryOrder, EntryUpdate, EntryWelcome, RunId, SideHello,
@@ -42,8 +42,8 @@
             return;
         };
         if let Some(view) = self.sides.get_mut(&name) {
-            view.heard = now;
-            view.silent_by = None;
+            view.last_received_at = now;
+            view.answer_due = None;
         }
         match report {
             SideReport::Hello(_) => {}
@@ -60,7 +60,7 @@
                 self.claim_first_at(now, &name);
             }
             SideReport::Status(status) => self.take_status(now, session, &name, status),
-            SideReport::TargetCrashed(crash) => self.note_crash(now, &name, &crash),
+            SideReport::TargetCrashed(crash) => self.record_crash(now, &name, &crash),
             SideReport::FetchEntries => self.send_entries(session),
             SideReport::FetchDocument(request) => self.documents.request(session, request),
             SideReport::DocumentPart(part) => self.take_part(session, part),
@@ -91,7 +91,7 @@
     /// would close the link of the life that runs.
     fn take_link(&mut self, now: Moment, session: SessionId, greeting: Greeting) {
         let hello = greeting.hello;
-        self.learn_drained_halls(now, &hello.drained);
+        self.update_drained_halls(now, &hello.drained);
         let is_hall_drained = self.drained_halls.contains(&hello.hall);
         let fresh = SideView::new(now, hello.incarnation, hello.hall.clone());
         let view = self.sides.entry(hello.side.clone()).or_insert(fresh);
@@ -101,9 +101,9 @@
         view.is_hall_drained = is_hall_drained;
         view.rank = pair_rank(&self.settings.entry, &hello.side);
         view.name_hash = stable_hash(&[&hello.side]);
-        view.distance = distance(view.rank);
-        view.take_session(now, session);
-        view.told_news = Some(greeting.news);
+        view.preference_penalty = distance(view.rank);
+        view.attach_session(now, session);
+        view.last_sent_update = Some(greeting.news);
         if let Some(replaced) = replaced {
             self.sessions.remove(&replaced);
             self.forget_link(replaced);
@@ -114,7 +114,7 @@
         self.sides_due = Some(now);
         self.fetch.record_offer(session, hello.config_version);
         self.is_holder_choice_stale = true;
-        self.reassign_parts();
+        self.reassign_reserved_sides();
     }
 
     /// Closes links whose greeting came from nobody who lives.
@@ -211,30 +211,30 @@
             self.fetch.record_offer(session, version);
         }
         if let Some(drained) = &status.drained {
-            self.learn_drained_halls(now, drained);
+            self.update_drained_halls(now, drained);
         }
         if let Some(view) = self.sides.get_mut(name) {
-            if view.heard_number == 0 && (!view.runs.is_empty() || !view.takes_claims) {
+            if view.last_report_number == 0 && (!view.runs.is_empty() || !view.takes_claims) {
                 // The side's lease for what goes on counts from the first report on this link, and it waits for this
                 // entry's claims.
-                view.owes_heartbeat = true;
+                view.needs_heartbeat = true;
                 self.sides_due = Some(now);
             }
-            view.take_status(now, &status);
+            view.apply_status(now, &status);
             self.counters.grants += u64::from(status.grant.is_some());
             let grant_ends = view.grant.map(|grant| grant.until);
             let grants_end = self.grants_end.into_iter().chain(grant_ends).min();
             self.grants_end = grants_end;
-            if view.owes_rest {
+            if view.has_unanswered_grant {
                 self.sides_due = Some(now);
             } else if status.is_offer {
-                view.owes_heartbeat = true;
+                view.needs_heartbeat = true;
                 self.sides_due = Some(now);
             }
-            if view.duty == LinkDuty::Waking && !status.is_standby {
-                view.duty = LinkDuty::Active;
+            if view.link_mode == LinkMode::Activating && !status.is_standby {
+                view.link_mode = LinkMode::Active;
                 // Confirmed before any start is ordered there: the side's lease counts from its report.
-                let heard = view.heard_number;
+                let heard = view.last_report_number;
                 let confirmed = EntryOrder::Heartbeat {
                     last_received: heard,
                     need: None,
@@ -266,11 +266,11 @@
         }
         view.session = None;
         view.is_resumed = false;
-        let age_ms = now.since(view.heard).as_millis() as u64;
+        let age_ms = now.since(view.last_received_at).as_millis() as u64;
         let runs = view.runs.len();
         self.sides_due = Some(now);
         self.is_holder_choice_stale = true;
-        self.reassign_parts();
+        self.reassign_reserved_sides();
         self.fill_active_links(now);
         self.await_link(now, &name);
         self.move_claims(now, &name);
@@ -304,7 +304,8 @@
             return;
         }
         let limit = self.settings.terms.run_over_after;
-        let is_over = |side: &SideView| side.session.is_none() && now.since(side.heard) > limit;
+        let is_over =
+            |side: &SideView| side.session.is_none() && now.since(side.last_received_at) > limit;
         let over = self.sides.iter().filter(|(_, side)| is_over(side));
         let over: Vec<(NodeName, Vec<RunId>)> = over
             .filter(|(_, side)| !side.runs.is_empty())
@@ -334,27 +335,28 @@
         self.choose_holders();
         let terms = self.settings.terms;
         let mut linked = self.sides.values().filter(|side| side.session.is_some());
-        let is_time = linked.any(|side| now.since(side.beat_sent) >= side.heartbeat(&terms));
+        let is_time =
+            linked.any(|side| now.since(side.heartbeat_sent_at) >= side.heartbeat_interval(&terms));
         let mut beats = Vec::new();
         let known = self.news();
         for side in self.sides.values_mut() {
             let Some(session) = side.session else {
                 continue;
             };
-            if std::mem::take(&mut side.owes_rest) {
+            if std::mem::take(&mut side.has_unanswered_grant) {
                 let is_returned = side.has_unused_grant();
                 self.counters.grants_returned += u64::from(is_returned);
-                side.owes_heartbeat |= is_returned;
+                side.needs_heartbeat |= is_returned;
             }
-            let every = side.heartbeat(&terms);
-            let is_due = is_time && now.since(side.beat_sent) + SENT_TOGETHER >= every;
-            if std::mem::take(&mut side.owes_heartbeat) || is_due {
-                side.beat_sent = now;
+            let every = side.heartbeat_interval(&terms);
+            let is_due = is_time && now.since(side.heartbeat_sent_at) + SENT_TOGETHER >= every;
+            if std::mem::take(&mut side.needs_heartbeat) || is_due {
+                side.heartbeat_sent_at = now;
                 if side.grant.is_some_and(|grant| grant.is_needed) {
                     side.drop_grant();
                 }
-                let news = side.tell_news(&known);
-                beats.push((session, side.heard_number, news));
+                let news = side.take_unsent_update(&known);
+                beats.push((session, side.last_report_number, news));
             }
         }
         if beats.is_empty() {
@@ -395,7 +397,7 @@
         for _ in 0..sides.min(TOLD_FIRST) {
             self.next_told = (self.next_told + 1) % sides;
             if let Some((_, side)) = self.sides.get_index_mut(self.next_told) {
-                side.owes_heartbeat = side.takes_work();
+                side.needs_heartbeat = side.takes_work();
             }
         }
     }
--- a/crates/mastknot_core/src/scheduler/submitting.rs
+++ b/crates/mastknot_core/src/scheduler/submitting.rs
@@ -26,8 +26,8 @@
     ) {
         let id = request.id;
         if policy.is_ranked {
-            self.use_beliefs();
-            self.note_ranked_job(now);
+            self.activate_priors();
+            self.record_ranked_job(now);
         }
         self.callers.insert(caller, id);
         let deadline = now + time_left.saturating_sub(self.settings.answer_margin);
@@ -42,7 +42,7 @@
         self.next_sequence += 1;
         let steps = request.steps.iter();
         let expected = steps
-            .map(|step| self.run_times.expect(&policy.name, step.estimate))
+            .map(|step| self.run_times.predict(&policy.name, step.estimate))
             .collect();
         let kinds = request.steps.iter();
         let kinds = kinds
@@ -97,9 +97,9 @@
         self.record_decision(taken);
         self.claim(now, id);
         self.queue_job(now, id);
-        self.give_up_known(now, id);
-        if self.has_no_hall_left() || self.has_closed_part(id) {
-            self.refuse_not_begun(now, id);
+        self.give_up_known_crashers(now, id);
+        if self.are_all_halls_drained() || self.has_no_usable_reserved_side(id) {
+            self.refuse_if_not_started(now, id);
         }
     }
 
@@ -144,7 +144,7 @@
         self.extend_claim(now, id);
         self.queue_job(now, id);
         self.finish_if_done(now, id);
-        self.give_up_known(now, id);
+        self.give_up_known_crashers(now, id);
     }
 
     /// Gives a job its place among the waiting ones, or takes it away.
@@ -198,7 +198,7 @@
             let is_due = |job: &ActiveJob| job.patience_ends == at;
             let is_due = self.jobs.get(&id).is_some_and(is_due);
             if is_due && !self.is_forecast(now, id) {
-                self.refuse_not_begun(now, id);
+                self.refuse_if_not_started(now, id);
             }
         }
     }
--- a/crates/mastknot_core/src/scheduler/suspects.rs
+++ b/crates/mastknot_core/src/scheduler/suspects.rs
@@ -5,7 +5,7 @@
 
 use super::SchedulerDecision;
 use super::active_job::{ActiveJob, TaskState};
-use super::crash_memory::CrashStanding;
+use super::crash_history::CrashStanding;
 use super::job_scheduler::JobScheduler;
 use super::run_at_crash::SOON;
 use super::side_view::SideView;
@@ -16,7 +16,7 @@
 
 impl JobScheduler {
     /// A side tells of a crash. Whoever owns the runs, each entry learns what ran there.
-    pub(super) fn note_crash(&mut self, now: Moment, side: &NodeName, crash: &TargetCrash) {
+    pub(super) fn record_crash(&mut self, now: Moment, side: &NodeName, crash: &TargetCrash) {
         let blamed = self.containment.blamed(crash);
         if !self.crashes.note(now, side, &blamed) {
             return;
@@ -25,12 +25,12 @@
         let without_bystanders = self.crashes.without_bystanders(crash);
         self.contain_guilty_kinds(now, side, &without_bystanders);
         for crashed in &crash.runs {
-            self.give_up_guilty(now, crashed.run.task);
+            self.give_up_if_confirmed(now, crashed.run.task);
         }
     }
 
     /// Answers a job that comes again with a task that is known to crash targets, before anything of it starts.
-    pub(super) fn give_up_known(&mut self, now: Moment, id: JobId) {
+    pub(super) fn give_up_known_crashers(&mut self, now: Moment, id: JobId) {
         self.crashes.forget_old(now);
         if self.crashes.is_empty() {
             return;
@@ -38,14 +38,14 @@
         let tasks = self.jobs.get(&id).into_iter().flat_map(|job| &job.tasks);
         let tasks: Vec<TaskRef> = tasks.map(|task| task.name).collect();
         for task in tasks {
-            self.give_up_guilty(now, task);
+            self.give_up_if_confirmed(now, task);
         }
         self.give_up_suspect(now, id);
     }
 
     /// A task that crashes its targets is never started again: each start would cost a target, and all that
     /// runs there, for seconds.
-    pub(super) fn give_up_guilty(&mut self, now: Moment, task: TaskRef) {
+    pub(super) fn give_up_if_confirmed(&mut self, now: Moment, task: TaskRef) {
         let is_open = self.jobs.get(&task.job).is_some_and(|job| !job.is_over);
         if !is_open || self.crashes.standing(&task) != CrashStanding::Guilty {
             return;
@@ -66,8 +66,8 @@
 
     /// How long a task ran until its last target crashed, if it is kept apart from others by itself: tasks of contained
     /// kinds are kept apart by job.
-    pub(super) fn suspect_by_itself(&self, job: &ActiveJob, task: usize) -> Option<Duration> {
-        if self.kept_apart(job.kind(task)).is_some() {
+    pub(super) fn individual_suspect_time(&self, job: &ActiveJob, task: usize) -> Option<Duration> {
+        if self.isolated_time_to_crash(job.kind(task)).is_some() {
             return None;
         }
         self.crashes.suspect_ran(&job.tasks[task].name)
@@ -75,7 +75,7 @@
 
     /// Whether a side runs another suspect of this entry whose targets crashed after about the same time: if its
     /// target crashed, nothing would tell which of them did it.
-    pub(super) fn holds_like_suspect(&self, now: Moment, ran: Duration, side: &SideView) -> bool {
+    pub(super) fn runs_similar_suspect(&self, now: Moment, ran: Duration, side: &SideView) -> bool {
         let mut others = side.runs.keys();
         others.any(|run| {
             let other = self.crashes.suspect_ran(&run.task);
@@ -88,7 +88,7 @@
     /// Whether another task of the job is on trial that may have crashed the same target: if it did, the job is
     /// answered, and this one need not cost a target of its own.
     pub(super) fn waits_for_trial(&self, now: Moment, job: &ActiveJob, task: usize) -> bool {
-        if self.kept_apart(job.kind(task)).is_some() {
+        if self.isolated_time_to_crash(job.kind(task)).is_some() {
             // It has a target for itself: all its tasks cost one together.
             return false;
         }
--- a/crates/mastknot_core/src/scheduler/target_classes.rs
+++ b/crates/mastknot_core/src/scheduler/target_classes.rs
@@ -18,7 +18,7 @@
 
 impl JobScheduler {
     /// A run has done its work: it tells how fast targets like its own are.
-    pub(super) fn learn_pace(
+    pub(super) fn record_slowdown(
         &mut self,
         queue: &Arc<str>,
         side: &NodeName,
@@ -43,7 +43,7 @@
     }
 
     /// How long work takes at a side against the middle of all targets.
-    pub(super) fn pace_at(&self, side: &SideView) -> f64 {
+    pub(super) fn slowdown_at(&self, side: &SideView) -> f64 {
         side.class()
             .map_or(1.0, |class| self.class_slowdowns.pace(class))
     }
@@ -60,7 +60,7 @@
         if self.class_slowdowns.are_alike() {
             return 0;
         }
-        let pace = self.pace_at(side);
+        let pace = self.slowdown_at(side);
         let slowest = self.class_slowdowns.slowest();
         let expected = job.expected[usize::from(job.tasks[task].name.step)];
         let left = job.time_left(now, expected).as_secs_f64();
--- a/crates/mastknot_core/src/scheduler/yielding.rs
+++ b/crates/mastknot_core/src/scheduler/yielding.rs
@@ -118,8 +118,8 @@
         let mut due: Option<Moment> = None;
         for (key, id) in self.waiting_free() {
             let turn = self.gives_way_until(now, key, id).or_else(|| {
-                let whole = self.waits_whole_until(now, *id);
-                whole.filter(|_| !self.fits_whole(now, *id, candidates))
+                let whole = self.waits_for_gang_until(now, *id);
+                whole.filter(|_| !self.fits_gang(now, *id, candidates))
             });
             match turn {
                 Some(turn) => due = Some(due.map_or(turn, |due| due.min(turn))),
@@ -146,7 +146,7 @@
     /// Until when a job needs no room of its own: it gives way, or waits for room for all its tasks.
     pub(super) fn waits_until(&self, now: Moment, key: &OrderKey, id: &JobId) -> Option<Moment> {
         let gives_way = self.gives_way_until(now, key, id);
-        gives_way.or_else(|| self.waits_whole_until(now, *id))
+        gives_way.or_else(|| self.waits_for_gang_until(now, *id))
     }
 
     /// Until when a waiting job gives way; none if it has its turn.
@@ -186,7 +186,7 @@
             && waiting.any(|task| {
                 let step = job.step(task);
                 let takes_any = step.required_label.is_none() && step.max_per_target == 0;
-                takes_any && self.suspect_by_itself(job, task).is_none()
+                takes_any && self.individual_suspect_time(job, task).is_none()
             })
     }
 
@@ -207,6 +207,6 @@
         }
         let is_served = answer == JobAnswer::Completed && is_in_time;
         let queue = Arc::clone(&job.policy.name);
-        self.yielding.losses.note(now, &queue, !is_served);
+        self.yielding.losses.record(now, &queue, !is_served);
     }
 }
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -10,9 +10,9 @@
     Capacity, JobAnswer, JobId, JobRequest, QueuePolicy, RankedWork, SideLoad,
 };
 use mastknot_core::scheduler::{
-    Admission, AdmissionInput, CallerId, Forecast, ForecastInput, KnownLoad, LONGEST_RETURN,
-    LoadView, REVIEW_INTERVAL, ReturnTimes, SHORTEST_RETURN, ScarcitySettings, SchedulerEffect,
-    SchedulerEvent,
+    Admission, AdmissionInput, CallerId, Forecast, ForecastInput, KnownLoad, LoadView,
+    MAX_RETRY_DELAY, MIN_RETRY_DELAY, REVIEW_INTERVAL, RetrySchedule, ScarcitySettings,
+    SchedulerEffect, SchedulerEvent,
 };
 use mastknot_core::types::WallTime;
 
@@ -41,7 +41,7 @@
         side: "side-1".into(),
         hall: "hall".into(),
         capacity: common::entry::target_room(16_000),
-        pace,
+        slowdown: pace,
         free: common::entry::target_room(free),
         load: SideLoad {
             waiting,
@@ -61,11 +61,11 @@
     ForecastInput {
         rank: NEW,
         ahead: room,
-        room: 8 * u64::from(TASK.cpu_millis),
+        required_capacity: 8 * u64::from(TASK.cpu_millis),
         held_for: ms(100),
         smallest: TASK,
-        arriving: 0.0,
-        had: 1.0,
+        arriving_rate: 0.0,
+        obtained_ratio: 1.0,
     }
 }
 
@@ -132,12 +132,12 @@
     let alone = view(vec![side(0, 1.0, Vec::new())], own);
     // Two entries use the side: half of it is this one's where both ask alike.
     let half = ForecastInput {
-        arriving: 4_000.0,
+        arriving_rate: 4_000.0,
         ..ahead(0)
     };
     assert_eq!(wait(&alone, &half), Some(160));
     let all = ForecastInput {
-        arriving: 8_000.0,
+        arriving_rate: 8_000.0,
         ..ahead(0)
     };
     assert_eq!(wait(&alone, &all), None);
@@ -148,7 +148,7 @@
     let own = vec![work(NEW, 100_000)];
     let alone = view(vec![side(0, 1.0, Vec::new())], own);
     let input = ForecastInput {
-        had: 0.8,
+        obtained_ratio: 0.8,
         ..ahead(0)
     };
     assert_eq!(wait(&alone, &input), Some(100));
@@ -230,34 +230,34 @@
 
 #[test]
 fn callers_come_back_no_faster_than_room_comes_free() {
-    let mut returns = ReturnTimes::default();
-    let mut tell = |id| returns.tell(at(0), JobId(id), Some(ms(10)), 800_000, 1_600.0);
-    assert_eq!(tell(1), SHORTEST_RETURN);
-    assert_eq!(tell(2), SHORTEST_RETURN + ms(500));
-    assert_eq!(tell(3), SHORTEST_RETURN + ms(1_000));
+    let mut returns = RetrySchedule::default();
+    let mut tell = |id| returns.schedule(at(0), JobId(id), Some(ms(10)), 800_000, 1_600.0);
+    assert_eq!(tell(1), MIN_RETRY_DELAY);
+    assert_eq!(tell(2), MIN_RETRY_DELAY + ms(500));
+    assert_eq!(tell(3), MIN_RETRY_DELAY + ms(1_000));
     let last = (4..100).map(tell).last();
-    assert_eq!(last, Some(LONGEST_RETURN));
+    assert_eq!(last, Some(MAX_RETRY_DELAY));
 }
 
 #[test]
 fn a_long_wait_is_told() {
-    let mut returns = ReturnTimes::default();
-    let told = returns.tell(at(0), JobId(1), Some(ms(4_000)), 1_600, 1_600.0);
+    let mut returns = RetrySchedule::default();
+    let told = returns.schedule(at(0), JobId(1), Some(ms(4_000)), 1_600, 1_600.0);
     assert_eq!(told, ms(4_000));
 }
 
 #[test]
 fn a_caller_keeps_to_its_time_once() {
-    let mut returns = ReturnTimes::default();
+    let mut returns = RetrySchedule::default();
     for id in 1..=4 {
-        returns.tell(at(0), JobId(id), Some(ms(2_000)), 0, 1.0);
+        returns.schedule(at(0), JobId(id), Some(ms(2_000)), 0, 1.0);
     }
-    assert!(!returns.is_kept(at(100), JobId(1)));
-    assert!(returns.is_kept(at(1_500), JobId(2)));
-    assert!(returns.is_kept(at(2_500), JobId(3)));
-    assert!(!returns.is_kept(at(2_500), JobId(3)));
-    assert!(!returns.is_kept(at(3_000), JobId(4)));
-    assert!(!returns.is_kept(at(2_000), JobId(5)));
+    assert!(!returns.is_on_time(at(100), JobId(1)));
+    assert!(returns.is_on_time(at(1_500), JobId(2)));
+    assert!(returns.is_on_time(at(2_500), JobId(3)));
+    assert!(!returns.is_on_time(at(2_500), JobId(3)));
+    assert!(!returns.is_on_time(at(3_000), JobId(4)));
+    assert!(!returns.is_on_time(at(2_000), JobId(5)));
 }
 
 /// Hands in a job of a queue beside which others have other priorities.
@@ -303,7 +303,7 @@
     }
     let third = retry_after(&submit_ranked(&mut entry, 1, 3, wide(3)));
     let fourth = retry_after(&submit_ranked(&mut entry, 1, 4, wide(4)));
-    assert_eq!(third, Some(SHORTEST_RETURN));
+    assert_eq!(third, Some(MIN_RETRY_DELAY));
     assert!(fourth > third, "{fourth:?}");
     let counters = entry.scheduler.counters();
     assert_eq!(counters.jobs_refused_at_arrival, 2);
--- a/crates/mastknot_core/tests/hard_load_interfaces.rs
+++ b/crates/mastknot_core/tests/hard_load_interfaces.rs
@@ -105,7 +105,7 @@
         side: "side-1".into(),
         hall: "hall-1".into(),
         capacity: cpu(16_000),
-        pace: 1.0,
+        slowdown: 1.0,
         free: cpu(1_600),
         load: SideLoad::default(),
         age: std::time::Duration::ZERO,
--- a/crates/mastknot_virtual/tests/forecast.rs
+++ b/crates/mastknot_virtual/tests/forecast.rs
@@ -6,7 +6,7 @@
 
 use load::{DRAINED, Fleet, KINDS, MIDDLE, Play, SETTLED, Submitted, USUAL};
 use mastknot_core::job::JobAnswer;
-use mastknot_core::scheduler::{LONGEST_RETURN, ScarcitySettings};
+use mastknot_core::scheduler::{MAX_RETRY_DELAY, ScarcitySettings};
 
 /// The usual load before a burst shows entries what comes as a rule.
 const CALM: Duration = Duration::from_secs(2);
@@ -37,7 +37,7 @@
     play.submit(BURST_FROM, BURST_UNTIL, times / USUAL, |_| 1.0);
     play.run(until);
     play.system
-        .run_until(until + LONGEST_RETURN * returns + DRAINED);
+        .run_until(until + MAX_RETRY_DELAY * returns + DRAINED);
     assert_eq!(play.system.violations(), []);
     assert_eq!(play.system.left_over(), (0, 0));
     let (early, late) = (refused_at_arrival(&play), refused_while_waiting(&play));
