--- a/crates/mastknot_core/src/entry/callers.rs
+++ b/crates/mastknot_core/src/entry/callers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::entry_core::{Breakage, Waiter};
+use super::entry_core::{DisabledCheck, Waiter};
 use super::{CallerRequest, EntryCore, EntryEffect, RequestId};
 use crate::message::{
     KeyStatus, PeerMessage, Refusal, RefusalReason, Reply, Submission, SubmissionAnswer,
@@ -102,7 +102,7 @@
             return self.refuse(&waiter, refusal, out);
         }
         let digest = submission.digest();
-        if self.breakage == Some(Breakage::ForgetsLedger) {
+        if self.breakage == Some(DisabledCheck::Resubmission) {
             self.ledger = Ledger::new(self.settings.ledger);
         }
         match self.ledger.look_up(submission.key, digest) {
@@ -154,7 +154,7 @@
     ) {
         let mut acceptance = self.membership.acceptance(now, submission.key);
         let is_earlier = matches!(acceptance, Acceptance::Ask(_) | Acceptance::Unknown);
-        if is_earlier && self.breakage == Some(Breakage::IgnoresEarlierHolders) {
+        if is_earlier && self.breakage == Some(DisabledCheck::EarlierOwners) {
             acceptance = Acceptance::Yes;
         }
         match acceptance {
--- a/crates/mastknot_core/src/entry/entry_core.rs
+++ b/crates/mastknot_core/src/entry/entry_core.rs
@@ -43,11 +43,11 @@
 /// A protection that is switched off, so that tests can show that its absence is noticed.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breakage {
+pub enum DisabledCheck {
     /// Resubmissions are not recognised.
-    ForgetsLedger,
+    Resubmission,
     /// Keys of earlier holders are accepted without a question.
-    IgnoresEarlierHolders,
+    EarlierOwners,
 }
 
 /// The core of an entry process.
@@ -77,7 +77,7 @@
     pub(super) next_id: u64,
     pub(super) is_stopping: bool,
     pub(super) has_stopped: bool,
-    pub(super) breakage: Option<Breakage>,
+    pub(super) breakage: Option<DisabledCheck>,
 }
 
 impl EntryCore {
@@ -140,7 +140,7 @@
     ///
     /// > **Caution:** only for tests that must see the breakage caught.
     #[doc(hidden)]
-    pub fn break_on_purpose(&mut self, breakage: Breakage) {
+    pub fn disable_check(&mut self, breakage: DisabledCheck) {
         self.breakage = Some(breakage);
     }
 
@@ -203,7 +203,9 @@
     pub fn step(&mut self, now: Now, event: EntryEvent) -> Vec<EntryEffect> {
         let mut out = Vec::new();
         match event {
-            EntryEvent::Caller { request, ask } => self.caller_asked(now, request, ask, &mut out),
+            EntryEvent::FromCaller { request, ask } => {
+                self.caller_asked(now, request, ask, &mut out)
+            }
             EntryEvent::CallerGone { request } => self.caller_gone(request),
             EntryEvent::FromSide {
                 side,
--- a/crates/mastknot_core/src/entry/entry_event.rs
+++ b/crates/mastknot_core/src/entry/entry_event.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub enum EntryEvent {
     /// A caller asks.
-    Caller {
+    FromCaller {
         /// Matches the reply.
         request: RequestId,
         /// What is asked.
--- a/crates/mastknot_core/src/entry/mod.rs
+++ b/crates/mastknot_core/src/entry/mod.rs
@@ -14,7 +14,7 @@
 
 pub use config_status::ConfigStatus;
 #[doc(hidden)]
-pub use entry_core::Breakage;
+pub use entry_core::DisabledCheck;
 pub use entry_core::{EntryCore, LiveSubmission};
 pub use entry_counters::EntryCounters;
 pub use entry_effect::EntryEffect;
--- a/crates/mastknot_entry/src/actor/requests.rs
+++ b/crates/mastknot_entry/src/actor/requests.rs
@@ -21,7 +21,7 @@
         self.next_request += 1;
         self.callers.insert(request, submit.reply);
         let ask = submit.ask;
-        self.step(EntryEvent::Caller { request, ask });
+        self.step(EntryEvent::FromCaller { request, ask });
     }
 }
 
--- a/crates/mastknot_virtual/src/system/callers.rs
+++ b/crates/mastknot_virtual/src/system/callers.rs
@@ -52,7 +52,7 @@
             submitted.sent_to = Some((entry, run));
         }
         self.fire(MessageKind::Submit, Some(entry), None);
-        self.at_entry(self.now, entry, EntryEvent::Caller { request, ask });
+        self.at_entry(self.now, entry, EntryEvent::FromCaller { request, ask });
     }
 
     /// Asks an entry to stop by plan.
--- a/crates/mastknot_virtual/tests/broken_variants.rs
+++ b/crates/mastknot_virtual/tests/broken_variants.rs
@@ -6,7 +6,7 @@
 
 use common::{is_complete, job, key_held_by, system};
 use mastknot_core::config::{ConfigWrite, WriteCall, WriteStep};
-use mastknot_core::entry::Breakage;
+use mastknot_core::entry::DisabledCheck;
 use mastknot_virtual::{Violation, VirtualSystem};
 
 /// Submits a job to entry 0, loses its holder, entry 1, and submits it again.
@@ -33,7 +33,7 @@
 
     let mut broken = system(2, 2, 4, 3);
     let entry = broken.entry_mut(0).unwrap();
-    entry.break_on_purpose(Breakage::IgnoresEarlierHolders);
+    entry.disable_check(DisabledCheck::EarlierOwners);
     resubmit_after_a_loss(&mut broken);
     assert!(has_started_twice(&broken));
 }
@@ -42,7 +42,7 @@
 fn a_forgotten_ledger_is_caught() {
     let mut broken = system(1, 2, 4, 4);
     let entry = broken.entry_mut(0).unwrap();
-    entry.break_on_purpose(Breakage::ForgetsLedger);
+    entry.disable_check(DisabledCheck::Resubmission);
     let key = broken.new_key();
     broken.submit(0, job(key, 3, 100));
     broken.run_for(Duration::from_secs(1));
--- a/examples/embedded.rs
+++ b/examples/embedded.rs
@@ -144,7 +144,7 @@
         submission,
         wait: true,
     };
-    let wanted = entry.step(now(4), EntryEvent::Caller { request: 1, ask });
+    let wanted = entry.step(now(4), EntryEvent::FromCaller { request: 1, ask });
     carry(&mut entry, &mut side, wanted, now(4));
 
     for (id, _, decision) in entry.decisions().since(0) {
