--- a/crates/mastknot_core/tests/answer_times.rs
+++ b/crates/mastknot_core/tests/answer_times.rs
@@ -41,7 +41,7 @@
     let mut side = Side::ready();
     let first = side.order(1_001, ENTRY, start(1, 100));
     let is_patient = first.iter().any(|effect| {
-        matches!(effect, AgentEffect::Order { timeout, .. } if *limit == Duration::from_millis(50))
+        matches!(effect, AgentEffect::Order { timeout: limit, .. } if *limit == Duration::from_millis(50))
     });
     assert!(is_patient, "nothing is known of its answers yet");
 }
