--- a/crates/mastknot_core/src/side/credit_issuer.rs
+++ b/crates/mastknot_core/src/side/credit_issuer.rs
@@ -4,7 +4,7 @@
 use crate::message::{Credit, CreditSeq};
 use crate::types::{Incarnation, Moment, NodeName};
 
-/// An unspent credit.
+/// Issued credit that has not been used yet.
 #[derive(Clone, Debug)]
 struct Outstanding {
     entry: NodeName,
@@ -13,18 +13,18 @@
 
 /// Issues single-use credits and takes them back.
 ///
-/// A credit lives as long as its lifetime after it was issued or after its entry was last heard,
-/// whichever is later. An entry that works with the side thus keeps its idle credits without a
-/// message for it, and an entry that is paused or cut off loses them.
+/// A credit is valid for its lifetime, counted from its issue or from the last message of its
+/// entry, whichever is later. An entry that works with the side therefore keeps its idle credits
+/// without additional messages, and an entry that is paused or partitioned loses them.
 #[derive(Clone, Debug)]
 pub(crate) struct CreditIssuer {
     incarnation: Incarnation,
     lifetime: Duration,
     next_seq: CreditSeq,
     outstanding: BTreeMap<CreditSeq, Outstanding>,
-    heard_at: BTreeMap<NodeName, Moment>,
-    /// Before this moment no credit can expire.
-    none_before: Moment,
+    last_message_at: BTreeMap<NodeName, Moment>,
+    /// Time before which no credit can expire.
+    no_expiry_before: Moment,
 }
 
 impl CreditIssuer {
@@ -34,8 +34,8 @@
             lifetime,
             next_seq: 1,
             outstanding: BTreeMap::new(),
-            heard_at: BTreeMap::new(),
-            none_before: Moment::default(),
+            last_message_at: BTreeMap::new(),
+            no_expiry_before: Moment::default(),
         }
     }
 
@@ -43,26 +43,30 @@
         self.outstanding.len()
     }
 
-    /// Notes that something came from an entry. Only credits that are still alive gain by it, so
-    /// the expired ones must have been removed before.
-    pub(crate) fn note_heard(&mut self, now: Moment, entry: &NodeName) {
-        match self.heard_at.get_mut(entry) {
-            Some(heard_at) => *heard_at = now,
+    /// Records that a message of an entry has arrived. Expired credits must have been removed
+    /// before, because this extends all credits of the entry.
+    pub(crate) fn record_message(&mut self, now: Moment, entry: &NodeName) {
+        match self.last_message_at.get_mut(entry) {
+            Some(last_message_at) => *last_message_at = now,
             None => {
-                self.heard_at.insert(entry.clone(), now);
+                self.last_message_at.insert(entry.clone(), now);
             }
         }
     }
 
-    /// Forgets when an entry was heard: its link is gone.
-    pub(crate) fn forget_heard(&mut self, entry: &NodeName) {
-        self.heard_at.remove(entry);
-        self.none_before = Moment::default();
+    /// Forgets the last message of an entry whose link was closed.
+    pub(crate) fn forget_entry(&mut self, entry: &NodeName) {
+        self.last_message_at.remove(entry);
+        self.no_expiry_before = Moment::default();
     }
 
     fn expires_at(&self, held: &Outstanding) -> Moment {
-        let heard_at = self.heard_at.get(&held.entry).copied().unwrap_or_default();
-        held.issued_at.max(heard_at) + self.lifetime
+        let last_message_at = self
+            .last_message_at
+            .get(&held.entry)
+            .copied()
+            .unwrap_or_default();
+        held.issued_at.max(last_message_at) + self.lifetime
     }
 
     /// Issues one credit to `entry`.
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Takes a credit out of circulation, if it is live; returns who it was granted to.
+    /// Takes back a credit if it is still valid; returns the entry to which it was issued.
     pub(crate) fn take(&mut self, now: Moment, seq: CreditSeq) -> Option<NodeName> {
         let held = self.outstanding.get(&seq)?;
         if self.expires_at(held) <= now {
@@ -90,9 +94,9 @@
         self.outstanding.remove(&seq).map(|held| held.entry)
     }
 
-    /// Removes the credits that have expired; returns who each was granted to.
+    /// Removes the credits that have expired; returns the entry of each.
     pub(crate) fn expire(&mut self, now: Moment) -> Vec<NodeName> {
-        if now < self.none_before {
+        if now < self.no_expiry_before {
             return Vec::new();
         }
         let is_over = |(_, held): &(&CreditSeq, &Outstanding)| self.expires_at(held) <= now;
@@ -107,11 +111,11 @@
             .filter_map(|seq| self.outstanding.remove(seq))
             .map(|held| held.entry)
             .collect();
-        self.none_before = self.next_expiry().unwrap_or(now + self.lifetime);
+        self.no_expiry_before = self.next_expiry().unwrap_or(now + self.lifetime);
         removed
     }
 
-    /// When the next credit expires, if nothing more is heard.
+    /// Returns the time at which the next credit expires if no further message arrives.
     pub(crate) fn next_expiry(&self) -> Option<Moment> {
         let expiries = self.outstanding.values().map(|held| self.expires_at(held));
         expiries.min()
--- a/crates/mastknot_core/src/side/entry_view.rs
+++ b/crates/mastknot_core/src/side/entry_view.rs
@@ -3,40 +3,41 @@
 use crate::message::Demand;
 use crate::types::Moment;
 
-/// How long a stated demand counts; an entry that still waits states it again.
+/// Time for which a reported demand is valid. An entry that still waits reports its demand again.
 const DEMAND_LIFETIME: Duration = Duration::from_millis(500);
 
-/// What a side knows of one connected entry.
+/// State of one connected entry as the side knows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EntryView {
     demand: Demand,
-    stated_at: Moment,
-    /// Unspent credits that were granted to the entry.
+    reported_at: Moment,
+    /// Number of unused credits that the entry holds.
     pub(crate) held: u32,
 }
 
 impl EntryView {
-    /// Records what the entry has use for.
-    pub(crate) fn state_demand(&mut self, now: Moment, demand: Demand) {
+    /// Records the demand that the entry reports.
+    pub(crate) fn record_demand(&mut self, now: Moment, demand: Demand) {
         self.demand = demand;
-        self.stated_at = now;
+        self.reported_at = now;
     }
 
-    /// How many credits the entry still wants, as far as that counts at `now`.
+    /// Returns the number of credits that the entry still wants, or 0 if the reported demand has
+    /// expired at `now`.
     pub(crate) fn wanted(&self, now: Moment) -> u32 {
-        if now.since(self.stated_at) > DEMAND_LIFETIME {
+        if now.since(self.reported_at) > DEMAND_LIFETIME {
             return 0;
         }
         self.demand.wanted
     }
 
-    /// How urgent the entry's first submission is; lower is more urgent.
+    /// Returns the urgency of the entry's first submission; lower is more urgent.
     pub(crate) fn urgency(&self) -> u64 {
         self.demand.urgency
     }
 
     /// Records that one credit was granted.
-    pub(crate) fn note_grant(&mut self) {
+    pub(crate) fn record_grant(&mut self) {
         self.demand.wanted = self.demand.wanted.saturating_sub(1);
         self.held += 1;
     }
--- a/crates/mastknot_core/src/side/mod.rs
+++ b/crates/mastknot_core/src/side/mod.rs
@@ -1,4 +1,4 @@
-//! The core of a side process: slots, credits, and the memory of what was started.
+//! Core of a side process: slots, credits, and the record of started tasks.
 
 mod credit_issuer;
 mod entry_view;
--- a/crates/mastknot_core/src/side/side_core.rs
+++ b/crates/mastknot_core/src/side/side_core.rs
@@ -13,7 +13,7 @@
 };
 use crate::types::{Incarnation, Moment, NodeName, SubmissionKey, TaskId};
 
-/// A task that holds a slot.
+/// Running task that occupies a slot.
 #[derive(Clone, Debug)]
 struct Running {
     entry: NodeName,
@@ -23,8 +23,8 @@
 
 /// The core of a side process.
 ///
-/// At any moment the running tasks and the unspent credits together are at most the slots. That
-/// is the whole of its admission: who holds a credit has a free slot.
+/// Running tasks and unused credits together never exceed the number of slots. This is the only
+/// admission control of a side: each credit stands for a free slot.
 ///
 /// # Examples
 ///
@@ -58,7 +58,7 @@
 }
 
 impl SideCore {
-    /// A side with all slots free and no entry connected.
+    /// Creates a side with all slots free and no entry connected.
     pub fn new(settings: SideSettings) -> Self {
         debug_assert!(settings.slots > 0, "side {} has no slot", settings.side);
         Self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What the side says of itself to an entry.
+    /// Returns the hello message in which the side describes itself to an entry.
     pub fn hello(&self) -> SideHello {
         SideHello {
             side: self.settings.side.clone(),
@@ -87,43 +87,44 @@
         }
     }
 
-    /// What the side has counted so far.
+    /// Returns the counters of the side.
     pub fn counters(&self) -> SideCounters {
         self.counters
     }
 
-    /// The configuration in force on the side.
+    /// Returns the configuration in force on the side.
     pub fn config(&self) -> &ConfigReplica {
         &self.config
     }
 
-    /// How many tasks run now.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Whether the side is leaving.
+    /// Returns whether the side is shutting down.
     pub fn is_draining(&self) -> bool {
         self.is_draining
     }
 
-    /// Whether operators have drained the hall that it stands in.
+    /// Returns whether operators have drained the hall of the side.
     pub fn is_hall_drained(&self) -> bool {
         let hall = self.settings.hall.as_str();
         self.config.get(DRAINED_HALL_KIND, hall).is_some()
     }
 
-    /// Whether the side has left: it grants nothing, nothing runs, and no credit is out.
+    /// Returns whether the side has finished its shutdown: it grants no credits, no task runs, and
+    /// no credit is outstanding.
     pub fn is_drained(&self) -> bool {
         self.is_draining && self.running.is_empty() && self.credits.len() == 0
     }
 
-    /// When [`SideEvent::Tick`] is due.
+    /// Returns the time at which [`SideEvent::Tick`] is due.
     pub fn next_tick(&self) -> Option<Moment> {
         self.credits.next_expiry()
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting effects.
     pub fn step(&mut self, now: Moment, event: SideEvent) -> Vec<SideEffect> {
         let mut effects = Vec::new();
         self.expire_credits(now);
@@ -131,10 +132,10 @@
             SideEvent::EntryJoined { entry } => self.entry_joined(entry, &mut effects),
             SideEvent::EntryLeft { entry } => {
                 self.entries.swap_remove(&entry);
-                self.credits.forget_heard(&entry);
+                self.credits.forget_entry(&entry);
             }
             SideEvent::FromEntry { entry, message } => {
-                self.credits.note_heard(now, &entry);
+                self.credits.record_message(now, &entry);
                 self.entry_sent(now, entry, message, &mut effects);
             }
             SideEvent::TaskEnded { task, outcome } => {
@@ -194,7 +195,7 @@
                 order,
                 demand,
             } => {
-                self.state_demand(now, &entry, demand);
+                self.record_demand(now, &entry, demand);
                 self.start(now, entry, incarnation, credit, order, effects);
             }
             EntryMessage::Exchange {
@@ -203,7 +204,7 @@
                 demand,
             } => {
                 self.take_back(now, incarnation, &returned);
-                self.state_demand(now, &entry, demand);
+                self.record_demand(now, &entry, demand);
             }
             EntryMessage::Stop { key } => self.stop(key, effects),
             EntryMessage::Config(delta) => {
@@ -211,7 +212,7 @@
                 let was_drained = self.is_hall_drained();
                 self.config.apply(&delta);
                 if was_drained && !self.is_hall_drained() {
-                    self.tell_resting(effects);
+                    self.report_idle_slots(effects);
                 }
                 let version = self.config.version();
                 let message = SideMessage::ConfigInForce { version };
@@ -219,7 +220,8 @@
                     effects.push(SideEffect::Send { entry, message });
                     return;
                 }
-                // Every entry learns it, so that no other one sends the same again.
+                // All entries are informed, so that none of them sends the same configuration
+                // again.
                 for entry in self.entries.keys() {
                     let (entry, message) = (entry.clone(), message.clone());
                     effects.push(SideEffect::Send { entry, message });
@@ -234,9 +236,9 @@
         }
     }
 
-    fn state_demand(&mut self, now: Moment, entry: &NodeName, demand: Demand) {
+    fn record_demand(&mut self, now: Moment, entry: &NodeName, demand: Demand) {
         if let Some(view) = self.entries.get_mut(entry) {
-            view.state_demand(now, demand);
+            view.record_demand(now, demand);
         }
     }
 
@@ -267,7 +269,8 @@
             let reason = NotRunReason::OldIncarnation;
             return self.refuse(now, entry, task, credit, reason, effects);
         }
-        // A start seen before must not be called "not run": its first copy may have started.
+        // A repeated start must not be answered with "not run", because the first message may have
+        // started the task.
         if self.memory.may_have_started(credit) || self.memory.has_task(task) {
             self.counters.duplicates_dropped += 1;
             return;
@@ -380,15 +383,16 @@
         }
     }
 
-    /// Tells all entries what is free: none asks a side of which it knows that it has no slot.
-    fn tell_resting(&mut self, effects: &mut Vec<SideEffect>) {
-        let resting = self.free_slots() as u16;
+    /// Reports the number of free slots to all entries. Entries request no credits from a side that
+    /// they know to have no free slot.
+    fn report_idle_slots(&mut self, effects: &mut Vec<SideEffect>) {
+        let idle_slots = self.free_slots() as u16;
         for entry in self.entries.keys() {
             let entry = entry.clone();
             let credits = Vec::new();
             let message = SideMessage::Grant {
                 credits,
-                idle_slots: resting,
+                idle_slots,
             };
             effects.push(SideEffect::Send { entry, message });
         }
@@ -402,15 +406,16 @@
         usize::from(self.settings.slots).saturating_sub(taken)
     }
 
-    /// The credit that rides on an answer. It stays with the entry: riding along is free, a grant
-    /// to another would be a message, and entries lend to each other in batches.
+    /// Returns the credit that is attached to an answer. The credit goes to the same entry:
+    /// attaching it costs nothing, while a grant to another entry would be an additional message,
+    /// and entries lend credits to each other in batches.
     fn next_credit(&mut self, now: Moment, entry: &NodeName) -> Option<Credit> {
         let can_ride = self.free_slots() > 0 && self.entries.contains_key(entry);
         can_ride.then(|| self.issue(now, entry))
     }
 
-    /// The connected entry that wants credits for the most urgent submission; among equals, the
-    /// one that holds the fewest here.
+    /// Returns the connected entry that wants credits for the most urgent submission. Among equals
+    /// it is the entry that holds the fewest credits of this side.
     fn neediest_entry(&self, now: Moment) -> Option<NodeName> {
         self.entries
             .iter()
@@ -422,12 +427,12 @@
     fn issue(&mut self, now: Moment, entry: &NodeName) -> Credit {
         self.counters.credits_granted += 1;
         if let Some(view) = self.entries.get_mut(entry) {
-            view.note_grant();
+            view.record_grant();
         }
         self.credits.issue(now, entry)
     }
 
-    /// Hands free slots to the entries that asked, neediest first.
+    /// Grants free slots to the entries that have asked for credits, the most urgent first.
     fn grant_wanted(&mut self, now: Moment, effects: &mut Vec<SideEffect>) {
         let mut granted: IndexMap<NodeName, Vec<Credit>> = IndexMap::new();
         while self.free_slots() > 0 {
@@ -438,10 +443,10 @@
             granted.entry(entry).or_default().push(credit);
         }
         for (entry, credits) in granted {
-            let resting = self.free_slots() as u16;
+            let idle_slots = self.free_slots() as u16;
             let message = SideMessage::Grant {
                 credits,
-                idle_slots: resting,
+                idle_slots,
             };
             effects.push(SideEffect::Send { entry, message });
         }
--- a/crates/mastknot_core/src/side/side_effect.rs
+++ b/crates/mastknot_core/src/side/side_effect.rs
@@ -1,18 +1,18 @@
 use crate::message::{SideMessage, TaskOrder};
 use crate::types::{NodeName, TaskId};
 
-/// What a side's shell must do.
+/// Action that a [`SideCore`](super::SideCore) requests from the process that runs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SideEffect {
     /// Send a message to an entry.
     Send {
-        /// The entry.
+        /// Entry that receives the message.
         entry: NodeName,
-        /// The message.
+        /// Message to send.
         message: SideMessage,
     },
     /// Run a task on the target, once.
     Run(TaskOrder),
-    /// Stop a task at the target.
+    /// Stop a task on the target.
     Abort(TaskId),
 }
--- a/crates/mastknot_core/src/side/side_event.rs
+++ b/crates/mastknot_core/src/side/side_event.rs
@@ -1,34 +1,34 @@
 use crate::message::{EntryMessage, TaskOutcome};
 use crate::types::{NodeName, TaskId};
 
-/// What happens to a side.
+/// Input of a [`SideCore`](super::SideCore).
 #[derive(Clone, Debug)]
 pub enum SideEvent {
-    /// A link to an entry stands.
+    /// A link to an entry was established.
     EntryJoined {
-        /// The entry.
+        /// Entry that was connected.
         entry: NodeName,
     },
-    /// The link to an entry broke.
+    /// The link to an entry was closed.
     EntryLeft {
-        /// The entry.
+        /// Entry that was disconnected.
         entry: NodeName,
     },
     /// An entry sent a message.
     FromEntry {
-        /// The entry.
+        /// Entry that sent the message.
         entry: NodeName,
-        /// What it sent.
+        /// Message as the entry sent it.
         message: EntryMessage,
     },
-    /// The target is done with a task.
+    /// A task ended on the target.
     TaskEnded {
-        /// The task.
+        /// Task that ended.
         task: TaskId,
-        /// How it ended.
+        /// Outcome of the task.
         outcome: TaskOutcome,
     },
-    /// The side shall leave: grant nothing more, end what runs.
+    /// The side has to shut down: it grants no further credits and lets running tasks end.
     Drain,
     /// Time has passed.
     Tick,
--- a/crates/mastknot_core/src/side/side_settings.rs
+++ b/crates/mastknot_core/src/side/side_settings.rs
@@ -2,16 +2,16 @@
 
 use crate::types::{Hall, Incarnation, NodeName};
 
-/// The default life of a credit.
+/// Default lifetime of a credit.
 const DEFAULT_CREDIT_LIFETIME: Duration = Duration::from_millis(1_500);
-/// How long a start is remembered by default.
+/// Default time for which a start is remembered.
 const DEFAULT_MEMORY_AGE: Duration = Duration::from_secs(60);
-/// How many starts are remembered at most by default.
+/// Default maximum number of remembered starts.
 const DEFAULT_MEMORY_STARTS: usize = 10_000;
-/// How many bytes of answers are remembered at most by default.
+/// Default maximum size of the remembered answers, in bytes.
 const DEFAULT_MEMORY_BYTES: usize = 8 * 1024 * 1024;
 
-/// What a [`SideCore`](super::SideCore) is told at its start.
+/// Settings of a [`SideCore`](super::SideCore).
 ///
 /// # Examples
 ///
@@ -23,32 +23,32 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct SideSettings {
-    /// The side's name.
+    /// Name of the side.
     pub side: NodeName,
-    /// This run of the side.
+    /// Incarnation of the side process.
     pub incarnation: Incarnation,
-    /// The hall it stands in.
+    /// Hall in which the side runs.
     pub hall: Hall,
-    /// How many tasks the target runs at once.
+    /// Number of tasks that the target runs at once.
     pub slots: u16,
-    /// Accelerators of the worker.
+    /// Number of accelerators of the worker.
     pub accelerators: u16,
-    /// Memory of the worker in MiB.
+    /// Memory of the worker, in MiB.
     pub memory_mib: u32,
-    /// The services the target runs; none listed means all.
+    /// Services that the target runs; an empty list means all services.
     pub services: Vec<NodeName>,
-    /// How long a credit lives, on this side's monotonic clock.
+    /// Lifetime of a credit, on the monotonic clock of the side.
     pub credit_lifetime: Duration,
-    /// How long a start is remembered.
+    /// Time for which a start is remembered.
     pub memory_age: Duration,
-    /// How many starts are remembered at most.
+    /// Maximum number of remembered starts.
     pub memory_starts: usize,
-    /// How many bytes of answers are remembered at most.
+    /// Maximum size of the remembered answers, in bytes.
     pub memory_bytes: usize,
 }
 
 impl SideSettings {
-    /// Settings with one slot and the defaults for the rest.
+    /// Creates settings with one slot and defaults for the rest.
     pub fn new(side: impl Into<NodeName>, hall: impl Into<Hall>) -> Self {
         Self {
             side: side.into(),
@@ -65,26 +65,26 @@
         }
     }
 
-    /// Sets how many tasks the target runs at once.
+    /// Sets the number of tasks that the target runs at once.
     pub fn slots(mut self, slots: u16) -> Self {
         debug_assert!(slots > 0, "side {} has no slot", self.side);
         self.slots = slots;
         self
     }
 
-    /// Sets the run of the side.
+    /// Sets the incarnation of the side process.
     pub fn incarnation(mut self, incarnation: Incarnation) -> Self {
         self.incarnation = incarnation;
         self
     }
 
-    /// Sets the services the target runs.
+    /// Sets the services that the target runs.
     pub fn services<T: Into<NodeName>>(mut self, services: impl IntoIterator<Item = T>) -> Self {
         self.services = services.into_iter().map(Into::into).collect();
         self
     }
 
-    /// Sets how long a credit lives.
+    /// Sets the lifetime of a credit.
     pub fn credit_lifetime(mut self, lifetime: Duration) -> Self {
         self.credit_lifetime = lifetime;
         self
--- a/crates/mastknot_core/src/side/start_memory.rs
+++ b/crates/mastknot_core/src/side/start_memory.rs
@@ -4,7 +4,7 @@
 use crate::message::{CreditSeq, Digest, RememberedTask, TaskOrder, TaskOutcome};
 use crate::types::{Moment, SubmissionKey, TaskId};
 
-/// The size of a remembered start besides its answer, in bytes.
+/// Size of a remembered start without its answer, in bytes.
 const FIXED_BYTES: usize = 96;
 
 #[derive(Clone, Debug)]
@@ -25,11 +25,11 @@
     }
 }
 
-/// What a side started lately, by the credit that was spent.
+/// Recent starts of a side, by the credit that each used.
 ///
-/// It answers two questions: was this start message seen before, and what is known of a
-/// submission whose holder was lost. Bounded by age, number and bytes; the oldest ended start
-/// goes first, and a start that still runs is never forgotten.
+/// The record shows whether a start message has been received before, and what is known about a
+/// submission whose owner was lost. It is bounded by age, number and bytes. The oldest start is
+/// removed first, and only after it has ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StartMemory {
     by_seq: BTreeMap<CreditSeq, Remembered>,
@@ -39,12 +39,12 @@
 }
 
 impl StartMemory {
-    /// Whether the credit was spent, or is so old that this can't be told any more.
+    /// Returns whether the credit has been used, or is too old to tell.
     pub(crate) fn may_have_started(&self, seq: CreditSeq) -> bool {
         seq <= self.forgotten_up_to || self.by_seq.contains_key(&seq)
     }
 
-    /// Whether the task was started here and is still remembered.
+    /// Returns whether the task was started here and is still remembered.
     pub(crate) fn has_task(&self, task: TaskId) -> bool {
         let Some(seqs) = self.by_key.get(&task.key) else {
             return false;
@@ -52,7 +52,7 @@
         seqs.iter().any(|seq| self.by_seq[seq].task == task)
     }
 
-    /// Remembers a start.
+    /// Records a start.
     pub(crate) fn record_start(&mut self, at: Moment, seq: CreditSeq, order: &TaskOrder) {
         let task = order.task;
         let remembered = Remembered {
@@ -67,7 +67,7 @@
         self.by_key.entry(task.key).or_default().push(seq);
     }
 
-    /// Remembers how a start ended.
+    /// Records the outcome of a start.
     pub(crate) fn record_end(&mut self, seq: CreditSeq, outcome: TaskOutcome) {
         let Some(remembered) = self.by_seq.get_mut(&seq) else {
             return;
@@ -77,7 +77,7 @@
         self.bytes += remembered.bytes();
     }
 
-    /// All that is remembered of a submission.
+    /// Returns all remembered tasks of a submission.
     pub(crate) fn of_key(&self, key: SubmissionKey) -> Vec<RememberedTask> {
         let seqs = self.by_key.get(&key).map(Vec::as_slice).unwrap_or_default();
         seqs.iter()
@@ -91,7 +91,8 @@
             .collect()
     }
 
-    /// Forgets the oldest ended starts until all bounds hold.
+    /// Removes the oldest starts that have ended until all bounds hold. Stops at a start that has
+    /// not ended.
     pub(crate) fn trim(&mut self, now: Moment, age: Duration, starts: usize, bytes: usize) {
         while let Some((&seq, oldest)) = self.by_seq.first_key_value() {
             let is_due = now.since(oldest.at) > age;
