--- a/crates/mastknot_core/src/agent/agent_decision.rs
+++ b/crates/mastknot_core/src/agent/agent_decision.rs
@@ -1,191 +1,197 @@
 use crate::job::{EndOfRun, JobId, NotRunCause, RunId, TargetCondition, TargetCrash, TargetId};
 use crate::types::{Hall, NodeName};
 
-/// Why a side ended an entry's lease.
+/// Reason for which a side ended the lease of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseEndCause {
-    /// Nothing newer was heard for the whole lease.
+    /// The entry confirmed no newer report for the whole length of the lease.
     Silence,
-    /// The entry has started anew.
+    /// The entry process has restarted.
     Restarted,
 }
 
-/// One decision of a side, for the logs.
+/// Decision of a side, reported for logs and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentDecision {
-    /// An order was turned away.
+    /// A start order was refused.
     TurnedAway {
-        /// The run.
+        /// Run that was refused.
         run: RunId,
-        /// Why.
+        /// Reason of the refusal.
         cause: NotRunCause,
-        /// The free processor, in thousandths of a core.
+        /// Free processor capacity, in thousandths of a core.
         free_cpu_millis: u32,
     },
     /// A run ended.
     RunEnded {
-        /// The run.
+        /// Run that ended.
         run: RunId,
-        /// How.
+        /// How the run ended.
         end: EndOfRun,
-        /// How long it ran, in milliseconds.
+        /// Time since the run was ordered, in milliseconds.
         ran_ms: u32,
     },
-    /// A run is stopped.
+    /// The side has ordered the target to stop a run.
     Stopping {
-        /// The run.
+        /// Run that is stopped.
         run: RunId,
-        /// What its end will be called.
+        /// End that is reported for the run unless the target reports another one.
         end: EndOfRun,
-        /// Its progress in percent.
+        /// Progress of the run in percent.
         percent: u8,
     },
-    /// An order got no answer.
+    /// The target did not answer an order to start.
     OrderUnanswered {
-        /// The run.
+        /// Run that was ordered.
         run: RunId,
     },
-    /// An order to stop got no acknowledgement: the run may go on.
+    /// The target did not acknowledge an order to stop, so the run may continue.
     StopUnanswered {
-        /// The run.
+        /// Run that is being stopped.
         run: RunId,
-        /// How often it has been sent.
+        /// Number of times that the order to stop has been sent.
         times: u32,
-        /// Since it was sent first, in milliseconds.
+        /// Time since the order to stop was first sent, in milliseconds.
         since_ms: u64,
     },
-    /// The target lists a run that no entry has here: it is stopped.
+    /// The target lists a run that no entry owns here. The side stops the run.
     Unclaimed {
-        /// The run.
+        /// Run that the target lists.
         run: RunId,
-        /// Its progress in percent.
+        /// Progress of the run in percent.
         percent: u8,
     },
-    /// An entry's lease ended.
+    /// The lease of an entry ended.
     LeaseEnded {
-        /// The entry.
+        /// Entry whose lease ended.
         entry: NodeName,
-        /// Why.
+        /// Reason for the end of the lease.
         cause: LeaseEndCause,
-        /// The age of the last confirmed report, in milliseconds.
+        /// Age of the last report that the entry confirmed, in milliseconds.
         age_ms: u64,
-        /// The runs that are stopped.
+        /// Number of runs that are stopped because of it.
         runs: usize,
     },
-    /// An entry has to wait for a job: another one has claimed it.
+    /// An entry has to wait for a job because another entry has claimed it.
     ClaimWaits {
-        /// The job.
+        /// Claimed job.
         job: JobId,
-        /// The entry that waits.
+        /// Entry that waits for the claim.
         entry: NodeName,
-        /// The entry that has it.
+        /// Entry that holds the claim.
         holder: NodeName,
     },
-    /// The entries have had time to claim again what this side had granted them before it started.
+    /// The time has ended in which entries repeat the claims that this side had granted before it
+    /// started.
     ClaimGraceEnded {
-        /// Claims of other jobs that came before.
+        /// Number of claims of other jobs that arrived during this time.
         early_claims: usize,
     },
-    /// An entry's link stands and its runs are settled.
+    /// An entry is linked and the runs of its earlier links are settled.
     EntryJoined {
-        /// The entry.
+        /// Entry that joined.
         entry: NodeName,
     },
-    /// Free room is kept for one entry.
+    /// The side reserves free capacity for one entry.
     Offered {
-        /// The entry.
+        /// Entry that receives the offer.
         entry: NodeName,
-        /// Its callers' hall.
+        /// Hall of the entry's callers.
         hall: Hall,
-        /// The processor that is kept, in thousandths of a core.
+        /// Reserved processor capacity, in thousandths of a core.
         cpu_millis: u32,
-        /// How urgent its need is; 0 is the most urgent.
+        /// Urgency of the entry's need; 0 is the most urgent.
         rank: u8,
-        /// What it needs, in thousandths of a core.
+        /// Processor capacity that the entry needs, in thousandths of a core.
         needed_cpu_millis: u32,
     },
-    /// Room is granted to one entry: what is free, or comes free soon.
+    /// The side grants one entry capacity that is free or is expected to become free soon.
     Granted {
-        /// The entry.
+        /// Entry that receives the grant.
         entry: NodeName,
-        /// The processor, in thousandths of a core.
+        /// Granted processor capacity, in thousandths of a core.
         cpu_millis: u32,
-        /// Whether nothing is known to wait for it.
+        /// Whether the grant was made although no waiting task is known to need it.
         is_standing: bool,
     },
-    /// A start waits for room that is expected soon.
+    /// A start is queued until capacity that is expected soon becomes free.
     StartQueued {
-        /// The run.
+        /// Run that is queued.
         run: RunId,
-        /// How urgent it is; 0 is the most urgent.
+        /// Urgency of the start; 0 is the most urgent.
         rank: u8,
-        /// How long it may wait, in milliseconds.
+        /// Longest time that the start may wait, in milliseconds.
         may_wait_ms: u32,
     },
-    /// A start that has waited is ordered.
+    /// A queued start was sent to the target.
     QueuedStartServed {
-        /// The run.
+        /// Run that was ordered.
         run: RunId,
-        /// How long it has waited, in milliseconds.
+        /// Time that the start has waited, in milliseconds.
         waited_ms: u32,
     },
-    /// The target's condition changed.
+    /// The condition of the target changed.
     ConditionChanged {
-        /// The target, if one is known.
+        /// Target, if one is known.
         target: Option<TargetId>,
-        /// Its condition.
+        /// New condition of the target.
         condition: TargetCondition,
     },
-    /// Operators have drained this side's hall, or returned it.
+    /// Operators have drained the hall of this side or returned it to service.
     HallDrained {
-        /// Whether it is drained now.
+        /// Whether the hall is drained now.
         is_drained: bool,
-        /// The store's revision at which this was so.
+        /// Revision of the store at which the change was read.
         revision: u64,
-        /// Runs that go on.
+        /// Number of runs that continue.
         runs: usize,
     },
-    /// Other weights of halls are in force here.
+    /// Different share weights of halls are in force on this side.
     ShareWeights {
-        /// The store's revision that they are of.
+        /// Revision of the store from which the weights come.
         revision: u64,
-        /// How many halls they name.
+        /// Number of halls that the weights name.
         halls: usize,
     },
-    /// The next life of a target answers under the name of the known one.
+    /// A new incarnation of the target answers under the same name.
     TargetRestarted {
-        /// The life that is over.
+        /// Incarnation that has ended.
         target: TargetId,
-        /// Runs of which the next life may have taken the order: they are stopped.
+        /// Number of runs that are stopped because the new incarnation may have received their
+        /// orders.
         stopped: usize,
     },
-    /// A life of the target has ended by a crash.
+    /// An incarnation of the target has ended by a crash.
     TargetCrashed(TargetCrash),
-    /// A new fencing token is in use.
+    /// The side uses a new fencing token.
     TokenTaken {
-        /// The token.
+        /// New fencing token.
         token: u64,
-        /// Runs of an earlier life that were found.
+        /// Number of runs found at the target that an earlier incarnation of this process had
+        /// started.
         survivors: usize,
     },
-    /// A report of the target was not taken: it is late, or of a life that is over.
+    /// A report of the target was ignored because it is late or comes from an incarnation that has
+    /// ended.
     LateReport {
-        /// The life that it is of.
+        /// Incarnation that sent the report.
         target: TargetId,
     },
-    /// What was remembered of the target was of another life than the one that answers: it is forgotten.
+    /// The remembered profile describes another incarnation of the target than the one that
+    /// answers, and was dropped.
     WrongProfile {
-        /// The life that it was of.
+        /// Incarnation that the remembered profile describes.
         target: TargetId,
     },
-    /// Another life of the target has reported; a look will tell whether the known one is over.
+    /// Another incarnation of the target has reported. A probe will show whether the known one has
+    /// ended.
     OtherIncarnation {
-        /// The life that reported.
+        /// Incarnation that reported.
         target: TargetId,
     },
-    /// A look failed.
+    /// A probe of the target failed.
     ProbeFailed {
-        /// How many in a row.
+        /// Number of probes that have failed in a row.
         in_a_row: u32,
     },
 }
--- a/crates/mastknot_core/src/agent/agent_effect.rs
+++ b/crates/mastknot_core/src/agent/agent_effect.rs
@@ -4,68 +4,69 @@
 use super::{AgentDecision, SessionId};
 use crate::job::{KnownEntry, RunId, SideReport, TargetId, TargetProfile};
 
-/// What a [`TargetAgent`](super::TargetAgent) wants done.
+/// Action that a [`TargetAgent`](super::TargetAgent) requests from the process that runs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentEffect {
-    /// Send a report.
+    /// Send a report to an entry.
     Send {
-        /// The link.
+        /// Link on which the report is sent.
         session: SessionId,
-        /// The report.
+        /// Report to send.
         report: SideReport,
     },
-    /// Close a link for good.
+    /// Close a link permanently.
     Close {
-        /// The link.
+        /// Link to close.
         session: SessionId,
     },
     /// Order the target to start a run.
     Order {
-        /// The run.
+        /// Run to start.
         run: RunId,
-        /// What the target is given.
+        /// Payload that the target receives.
         payload: Arc<str>,
-        /// The hold, on the target's clock in milliseconds.
+        /// Time until which the target holds the run, on the target's clock in milliseconds.
         hold_until_ms: u64,
-        /// The fencing token.
+        /// Fencing token of the order.
         token: u64,
-        /// The life of the target that is meant.
+        /// Incarnation of the target to which the order is addressed, if known.
         target: Option<TargetId>,
-        /// Without an answer after this the order is looked for.
+        /// Time after which the order counts as unanswered and a probe looks for the run.
         timeout: Duration,
     },
     /// Order the target to stop a run.
     StopRun {
-        /// The run.
+        /// Run to stop.
         run: RunId,
-        /// The fencing token.
+        /// Fencing token of the order.
         token: u64,
-        /// Without an answer after this it is sent again.
+        /// Time after which an unanswered order counts as not acknowledged and is sent again.
         timeout: Duration,
     },
-    /// Look at the target, and renew its hold if a time is given.
+    /// Probe the target, and extend the hold of its runs if a time is given.
     Probe {
-        /// The look.
+        /// Number of the probe.
         number: u64,
-        /// The hold, on the target's clock in milliseconds.
+        /// Time until which the target holds its runs, on the target's clock in milliseconds.
         hold_until_ms: Option<u64>,
-        /// The fencing token.
+        /// Fencing token of the probe.
         token: u64,
-        /// The highest end that has been noted.
+        /// Highest number of an ended run that the side has already recorded.
         last_seen: u64,
-        /// How long the answer may wait for an end.
+        /// Time that the target may delay its answer while it waits for a run to end.
         wait: Duration,
-        /// The life of the target that is meant.
+        /// Incarnation of the target to which the probe is addressed, if known.
         target: Option<TargetId>,
-        /// Without an answer after this the look has failed.
+        /// Time after which an unanswered probe has failed.
         timeout: Duration,
     },
-    /// These entries are known; dial those that have no link.
+    /// Use this list of entries and dial those that have no link.
     DialEntries(Vec<KnownEntry>),
-    /// Another life of the target has reported; worth writing down.
+    /// Store the profile of the target, because the reported profile has changed or a new
+    /// incarnation has reported.
     StoreProfile(TargetProfile),
-    /// Something was decided.
+    /// Log a decision.
     Decided(AgentDecision),
-    /// Everything that ran has ended; the process may end.
+    /// Report that every run has ended, so that the process may exit.
     Drained,
 }
--- a/crates/mastknot_core/src/agent/agent_event.rs
+++ b/crates/mastknot_core/src/agent/agent_event.rs
@@ -1,160 +1,162 @@
 use super::{SessionId, TargetReport};
 use crate::job::{EntryOrder, KnownEntry, RunId, TargetId, TargetProfile};
 
-/// Why a target refused an order without doing anything.
+/// Reason for which a target refused an order without acting on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderRefusal {
-    /// A higher fencing token has been there; the target's clock in milliseconds.
+    /// The target has already received a higher fencing token.
     Fenced {
-        /// The target's clock in milliseconds.
+        /// Target's clock in milliseconds.
         clock_ms: u64,
     },
-    /// This or a later attempt of the task has been there.
+    /// The target has already received this attempt of the task or a later one.
     OldAttempt,
-    /// The order's time has passed.
+    /// The time until which the order is valid has passed.
     Late,
-    /// No room.
+    /// The target has no free capacity for the run.
     NoRoom,
-    /// The target calls itself unhealthy.
+    /// The target reports itself as unhealthy.
     Unhealthy,
-    /// The order is malformed or was never asked for.
+    /// The order is malformed or concerns a run that was never requested.
     Rejected,
-    /// Another life of the target answers.
+    /// Another incarnation of the target answers.
     OtherIncarnation,
 }
 
-/// What became of an order to start.
+/// Outcome of an order to start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The run is there; the target's clock in milliseconds.
+    /// The target has started the run.
     Started {
-        /// The target's clock in milliseconds.
+        /// Target's clock in milliseconds.
         clock_ms: u64,
     },
-    /// The target has done nothing.
+    /// The target refused the order and did nothing.
     Refused(OrderRefusal),
-    /// No connection could be made.
+    /// No connection to the target could be made.
     Unreachable,
-    /// No answer came: it may have been done or may be done later.
+    /// No answer arrived. The target may have started the run or may still start it.
     NoAnswer,
 }
 
-/// Why a look at the target failed.
+/// Reason for which a probe of the target failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeFailure {
-    /// A higher fencing token has been there.
+    /// The target has already received a higher fencing token.
     Fenced {
-        /// The target's clock in milliseconds.
+        /// Target's clock in milliseconds.
         clock_ms: u64,
     },
-    /// Another life of the target answers.
+    /// Another incarnation of the target answers.
     OtherIncarnation,
-    /// Nothing listens at the target's address.
+    /// No process listens at the target's address.
     Refused,
-    /// No answer in time, or none that can be read.
+    /// No answer arrived in time, or the answer could not be read.
     Silent,
 }
 
-/// A run as its target lists it.
+/// Running task as its target lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetRunning {
-    /// The run.
+    /// Identity of the run.
     pub run: RunId,
-    /// Its progress in percent.
+    /// Progress of the run in percent.
     pub percent: u8,
 }
 
-/// How a target says that a run ended.
+/// Reason for the end of a run, as the target reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishReason {
-    /// It did its work.
+    /// The run completed its work.
     Done,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped.
+    /// The run was stopped by an order.
     Stopped,
-    /// The hold ran out.
+    /// The target ended the run because its hold expired.
     HoldExpired,
 }
 
-/// An ended run as its target lists it.
+/// Ended run as its target lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetFinished {
-    /// Its place in the target's list of ends.
+    /// Number of this end in the target's list of ended runs.
     pub number: u64,
-    /// The run.
+    /// Identity of the run.
     pub run: RunId,
-    /// How it ended.
+    /// Reason for the end.
     pub reason: FinishReason,
 }
 
-/// What one look at a target showed.
+/// State of a target as one probe shows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetView {
-    /// The target's clock in milliseconds.
+    /// Target's clock in milliseconds.
     pub clock_ms: u64,
-    /// When the life that answered started, in Unix milliseconds; 0 if it does not say.
+    /// Start time of the incarnation that answered, in Unix milliseconds; 0 if the target does not
+    /// report it.
     pub started_at_ms: u64,
-    /// What runs.
+    /// Runs that are active.
     pub running: Vec<TargetRunning>,
-    /// What has ended since the last noted end.
+    /// Runs that have ended since the last end that the side had recorded.
     pub finished: Vec<TargetFinished>,
 }
 
-/// What a [`TargetAgent`](super::TargetAgent) is told.
+/// Input of a [`TargetAgent`](super::TargetAgent).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentEvent {
-    /// A link to an entry stands.
+    /// A link to an entry was established.
     LinkUp {
-        /// The link.
+        /// New link.
         session: SessionId,
     },
-    /// An entry's orders that arrived together.
+    /// Orders of an entry arrived together.
     FromEntry {
-        /// The link.
+        /// Link on which the orders arrived.
         session: SessionId,
-        /// The orders.
+        /// Orders in the sequence of their arrival.
         orders: Vec<EntryOrder>,
     },
-    /// A link is gone.
+    /// A link was closed.
     LinkDown {
-        /// The link.
+        /// Closed link.
         session: SessionId,
     },
-    /// The target reported itself.
+    /// The target reported its state.
     TargetReported(TargetReport),
-    /// What the target once said of itself, as an earlier life of this process wrote it down.
+    /// A profile of the target was read that an earlier incarnation of this process had stored.
     TargetRemembered(TargetProfile),
-    /// The target has left by plan.
+    /// The target has shut down as planned.
     TargetLeft {
-        /// The life that left.
+        /// Incarnation that shut down.
         target: TargetId,
     },
-    /// An order to start has an outcome.
+    /// An order to start a run has an outcome.
     OrderAnswered {
-        /// The run.
+        /// Run that was ordered.
         run: RunId,
-        /// What became of it.
+        /// Outcome of the order.
         outcome: OrderOutcome,
     },
-    /// An order to stop has an outcome.
+    /// An order to stop a run has an outcome.
     StopAnswered {
-        /// The run.
+        /// Run that was to be stopped.
         run: RunId,
-        /// Whether the target acknowledged it.
+        /// Whether the target acknowledged the order.
         is_acknowledged: bool,
     },
-    /// A look has an outcome.
+    /// A probe has an outcome.
     Probed {
-        /// The look.
+        /// Number of the probe.
         number: u64,
-        /// What it showed.
+        /// State of the target, or the reason of the failure.
         result: Result<TargetView, ProbeFailure>,
     },
-    /// Entries were found outside of any link.
+    /// Entries were found by other means than a link.
     EntriesFound(Vec<KnownEntry>),
-    /// A moment that the agent asked for has come.
+    /// A time has come that the agent requested with
+    /// [`TargetAgent::next_tick`](super::TargetAgent::next_tick).
     Tick,
-    /// The process is to end by plan.
+    /// The process is to shut down as planned.
     Stop,
 }
--- a/crates/mastknot_core/src/agent/agent_settings.rs
+++ b/crates/mastknot_core/src/agent/agent_settings.rs
@@ -4,46 +4,48 @@
 use crate::relay::LinkRate;
 use crate::types::{Hall, Incarnation, NodeName};
 
-/// What a [`TargetAgent`](super::TargetAgent) is set up with.
+/// Settings of a [`TargetAgent`](super::TargetAgent).
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgentSettings {
-    /// The side's name.
+    /// Name of the side.
     pub side: NodeName,
-    /// Its run.
+    /// Incarnation of the side process.
     pub incarnation: Incarnation,
-    /// Its hall.
+    /// Hall in which the side runs.
     pub hall: Hall,
-    /// The leases.
+    /// Lengths of leases, heartbeats and holds.
     pub terms: LeaseTerms,
-    /// How long one look at the target waits for an end.
-    pub look_wait: Duration,
-    /// A run whose progress stands still for so long is stopped.
+    /// Longest time that a probe waits at the target for a run to end.
+    pub probe_wait: Duration,
+    /// Time without progress after which a run is stopped.
     pub stall_limit: Duration,
-    /// An unanswered stop is sent again after this.
+    /// Time after which an unacknowledged order to stop is sent again.
     pub stop_retry: Duration,
-    /// News of free room wait at most this long for an entry in which tasks wait.
+    /// Longest delay of a report on changed capacity to an entry that has waiting tasks.
     pub eager_report_delay: Duration,
-    /// The same for any other entry.
+    /// Longest delay of a report on changed capacity to an entry that has no waiting tasks.
     pub idle_report_delay: Duration,
-    /// After a start, an unseen target holds nothing of an earlier life any more.
+    /// Time after the start of this process until a target that has not answered can no longer hold
+    /// runs of an earlier incarnation of the process.
     pub settle_limit: Duration,
-    /// How long runs of an earlier life, once seen, wait for an entry that takes them over.
+    /// Time that runs of an earlier incarnation of this process, once found, wait for an entry to
+    /// take them over.
     pub adoption_limit: Duration,
-    /// The longest time for which a target holds its runs, whatever it is asked for.
+    /// Upper bound that the target itself sets on the time for which it holds runs.
     pub max_hold: Duration,
-    /// What its link carries.
+    /// Bandwidth of the side's links.
     pub link: LinkRate,
 }
 
 impl AgentSettings {
-    /// The usual settings for a side.
+    /// Creates the default settings of a side.
     pub fn new(side: NodeName, incarnation: Incarnation, hall: Hall) -> Self {
         Self {
             side,
             incarnation,
             hall,
             terms: LeaseTerms::default(),
-            look_wait: Duration::from_millis(60),
+            probe_wait: Duration::from_millis(60),
             stall_limit: Duration::from_millis(300),
             stop_retry: Duration::from_millis(100),
             eager_report_delay: Duration::from_millis(4),
--- a/crates/mastknot_core/src/agent/answer_times.rs
+++ b/crates/mastknot_core/src/agent/answer_times.rs
@@ -1,20 +1,20 @@
 use std::time::Duration;
 
-/// The shortest wait for an answer: a target on the same VM answers in a millisecond or two.
-const SHORTEST: Duration = Duration::from_millis(20);
-/// The longest wait for an answer, and the first one.
-const LONGEST: Duration = Duration::from_millis(50);
-/// The weight of a new time against the mean so far, as a divisor.
+/// Lower bound of the timeout. A target on the same VM answers in one or two milliseconds.
+const MIN_TIMEOUT: Duration = Duration::from_millis(20);
+/// Upper bound of the timeout, which is also its initial value.
+const MAX_TIMEOUT: Duration = Duration::from_millis(50);
+/// Divisor that gives the weight of a new sample in the smoothed mean.
 const MEAN_WEIGHT: u32 = 8;
-/// The weight of a new deviation against the mean so far, as a divisor.
+/// Divisor that gives the weight of a new deviation in the smoothed deviation.
 const DEVIATION_WEIGHT: u32 = 4;
-/// So many mean deviations above the mean an answer counts as lost.
+/// Number of mean deviations above the mean after which an answer counts as lost.
 const DEVIATIONS: u32 = 4;
 
-/// How long answers of the target take, and from when on one counts as lost.
+/// Estimate of the target's answer times, from which the timeout of calls is derived.
 ///
-/// Mean and deviation are smoothed as for TCP's retransmission timeout (RFC 6298); times of calls
-/// without an answer are not included.
+/// Mean and deviation are smoothed as for TCP's retransmission timeout (RFC 6298). Calls without an
+/// answer are not included.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AnswerTimes {
     mean: Option<Duration>,
@@ -22,8 +22,8 @@
 }
 
 impl AnswerTimes {
-    /// An answer came after this time.
-    pub(crate) fn note(&mut self, took: Duration) {
+    /// Records the time that an answer took.
+    pub(crate) fn record(&mut self, took: Duration) {
         let Some(mean) = self.mean else {
             self.mean = Some(took);
             self.deviation = took / 2;
@@ -34,11 +34,11 @@
         self.mean = Some((mean * (MEAN_WEIGHT - 1) + took) / MEAN_WEIGHT);
     }
 
-    /// How long to wait for the next answer.
-    pub(crate) fn limit(&self) -> Duration {
+    /// Returns the timeout of the next call.
+    pub(crate) fn timeout(&self) -> Duration {
         match self.mean {
-            Some(mean) => (mean + self.deviation * DEVIATIONS).clamp(SHORTEST, LONGEST),
-            None => LONGEST,
+            Some(mean) => (mean + self.deviation * DEVIATIONS).clamp(MIN_TIMEOUT, MAX_TIMEOUT),
+            None => MAX_TIMEOUT,
         }
     }
 }
--- a/crates/mastknot_core/src/agent/claim_grace.rs
+++ b/crates/mastknot_core/src/agent/claim_grace.rs
@@ -1,4 +1,7 @@
-//! A side that has just started has forgotten which entries had claimed jobs: those claim them again before others may.
+//! Grace period for claims after the start of a side.
+//!
+//! A side that has just started does not know which entries had claimed jobs before. During the
+//! grace period these entries repeat their claims; claims of other jobs are granted afterwards.
 
 use super::dial_order::DialOrder;
 use super::owners::OwnerKey;
@@ -7,7 +10,7 @@
 use crate::job::{JobClaim, JobId, SideReport};
 use crate::types::{Moment, NodeName};
 
-/// The claim of a job that the entry was not granted before, which came too early.
+/// Claim that arrived during the grace period for a job that the entry did not hold before.
 #[derive(Clone, Debug)]
 struct EarlyClaim {
     session: SessionId,
@@ -15,7 +18,7 @@
     claim: JobClaim,
 }
 
-/// Whether claims of new jobs are granted yet.
+/// State of the grace period, and the claims that wait for its end.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClaimGrace {
     is_over: bool,
@@ -23,12 +26,12 @@
 }
 
 impl ClaimGrace {
-    /// Whether claims of new jobs are granted.
+    /// Returns whether the grace period has ended, so that claims of new jobs are granted.
     pub(super) fn is_over(&self) -> bool {
         self.is_over
     }
 
-    /// Keeps a claim for later.
+    /// Keeps a claim until the grace period ends.
     pub(super) fn keep(&mut self, session: SessionId, owner: &OwnerKey, claim: &JobClaim) {
         self.early.push(EarlyClaim {
             session,
@@ -37,7 +40,7 @@
         });
     }
 
-    /// An entry needs a job no more.
+    /// Removes the claim of an entry that no longer needs the job.
     pub(super) fn release(&mut self, owner: &OwnerKey, job: JobId) {
         self.early
             .retain(|early| early.owner != *owner || early.claim.job != job);
@@ -45,7 +48,8 @@
 }
 
 impl TargetAgent {
-    /// Ends the grace once the entries that are likely to use this side have claimed what they had, or are silent.
+    /// Ends the grace period once each entry that is likely to use this side has either repeated
+    /// its claims or been silent for too long.
     pub(super) fn end_grace(&mut self, now: Moment) {
         if self.grace.is_over || !self.is_grace_over(now) {
             return;
@@ -53,7 +57,7 @@
         self.grace.is_over = true;
         let early = std::mem::take(&mut self.grace.early);
         let early_claims = early.len();
-        self.decided(AgentDecision::ClaimGraceEnded { early_claims });
+        self.record_decision(AgentDecision::ClaimGraceEnded { early_claims });
         let resumed = self.owners.values().filter(|owner| owner.is_resumed);
         let resumed: Vec<SessionId> = resumed.filter_map(|owner| owner.session).collect();
         for session in resumed {
@@ -72,21 +76,23 @@
         }
         let likely = DialOrder::new(&self.settings.side, &self.entries).at_once;
         let mut names = likely.iter().map(|entry| &entry.name);
-        !likely.is_empty() && names.all(|name| self.has_heard_from(name))
+        !likely.is_empty() && names.all(|name| self.has_confirmed_resume(name))
     }
 
-    /// Whether an entry has read which runs go on here: what it claims again it claims before it says so.
-    fn has_heard_from(&self, entry: &NodeName) -> bool {
+    /// Returns whether an entry is known to have read which runs continue here. An entry repeats
+    /// its claims before it confirms that it has read this.
+    fn has_confirmed_resume(&self, entry: &NodeName) -> bool {
         let mut owners = self.owners.iter();
         owners.any(|(key, owner)| key.entry == *entry && owner.has_read_resume())
     }
 
-    /// An entry that has said nothing by then is silent: its link is given up.
+    /// Returns the time at which the grace period ends at the latest. The link to an entry that has
+    /// not answered by then is given up.
     fn grace_ends(&self) -> Option<Moment> {
-        Some(self.settled? + self.settings.terms.silence)
+        Some(self.settled_at? + self.settings.terms.silence)
     }
 
-    /// When the grace ends at the latest.
+    /// Returns the end of the grace period, if it has not ended yet.
     pub(super) fn grace_due(&self) -> Option<Moment> {
         self.grace_ends().filter(|_| !self.grace.is_over)
     }
--- a/crates/mastknot_core/src/agent/claiming.rs
+++ b/crates/mastknot_core/src/agent/claiming.rs
@@ -1,4 +1,5 @@
-//! Claims of jobs: which entry may start a job that several were handed.
+//! Claims of jobs. A claim decides which entry may start a job that was submitted to several
+//! entries.
 
 use super::job_claims::GrantedClaim;
 use super::owners::OwnerKey;
@@ -16,13 +17,13 @@
         claim: &JobClaim,
     ) {
         let job = claim.job;
-        if !claim.is_reclaim && !self.grace.is_over() && !self.claims.knows(job) {
+        if !claim.is_reclaim && !self.grace.is_over() && !self.claims.is_claimed(job) {
             self.grace.keep(session, key, claim);
             return;
         }
         let answer = self.claims.ask(now, key, claim);
         if let ClaimAnswer::Held { by } = &answer {
-            self.decided(AgentDecision::ClaimWaits {
+            self.record_decision(AgentDecision::ClaimWaits {
                 job,
                 entry: key.entry.clone(),
                 holder: by.clone(),
@@ -34,28 +35,29 @@
     pub(super) fn release_claim(&mut self, now: Moment, key: &OwnerKey, job: JobId) {
         self.grace.release(key, job);
         if let Some(granted) = self.claims.release(now, key, job) {
-            self.tell_granted(now, granted);
+            self.send_granted(now, granted);
         }
     }
 
-    /// Nothing that an entry has started runs for longer after its link has gone, unless it lives.
+    /// Shortens the claims of an entry whose link was closed. Unless the entry is alive and claims
+    /// its jobs again, none of its runs continues for longer than this time.
     pub(super) fn shorten_claims(&mut self, now: Moment, key: &OwnerKey) {
         let until = now + self.settings.terms.run_over_after;
         self.claims.shorten(key, until);
     }
 
     pub(super) fn end_claims(&mut self, now: Moment) {
-        for granted in self.claims.end_lapsed(now) {
-            self.tell_granted(now, granted);
+        for granted in self.claims.end_expired(now) {
+            self.send_granted(now, granted);
         }
     }
 
-    /// The jobs that are claimed here.
+    /// Returns the number of jobs that are claimed on this side.
     pub fn claimed_jobs(&self) -> usize {
         self.claims.len()
     }
 
-    fn tell_granted(&mut self, now: Moment, granted: GrantedClaim) {
+    fn send_granted(&mut self, now: Moment, granted: GrantedClaim) {
         let job = granted.job;
         let owner = self.owners.get(&granted.owner);
         let Some(session) = owner.and_then(|owner| owner.session) else {
--- a/crates/mastknot_core/src/agent/contact_loss.rs
+++ b/crates/mastknot_core/src/agent/contact_loss.rs
@@ -2,56 +2,59 @@
 
 use crate::types::Moment;
 
-/// A crash is known to the moment if the target was alive so short a time before the first sign of it.
+/// Longest time between the last answer of a target and the first sign of its crash for which the
+/// time of the crash counts as known.
 const KNOWN_WITHIN: Duration = Duration::from_millis(10);
 
-/// When a target crashed, as far as its side knows.
+/// Time at which a target crashed, as far as its side can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CrashTime {
-    /// The moment until which the target is known to have lived.
+    /// Time until which the target is known to have been alive.
     pub(crate) at: Moment,
-    /// Whether it died then; if not, some time later.
+    /// Whether the target crashed at this time; if not, the target crashed at an unknown later
+    /// time.
     pub(crate) is_known: bool,
 }
 
-/// The signs since a target's last answer that it is gone.
+/// Signs since the last answer of a target that the target has gone.
 ///
-/// A refused connection and a broken one say that the target is dead; a call that gets no answer says nothing of when
-/// it died.
+/// A refused or broken connection shows that the target has crashed. A call without an answer shows
+/// nothing about the time of the crash.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ContactLoss {
-    /// The first broken connection: the target held it until then.
+    /// Time at which a connection first broke; the target kept the connection open until then.
     broken: Option<Moment>,
-    /// The first refused connection.
+    /// Time at which a connection was first refused.
     refused: Option<Moment>,
     has_timed_out: bool,
 }
 
 impl ContactLoss {
-    /// A connection that had stood broke now.
-    pub(crate) fn note_broken(&mut self, now: Moment) {
+    /// Records that an established connection broke.
+    pub(crate) fn record_broken(&mut self, now: Moment) {
         self.broken.get_or_insert(now);
     }
 
-    /// A connection was refused now.
-    pub(crate) fn note_refused(&mut self, now: Moment) {
+    /// Records that a connection was refused.
+    pub(crate) fn record_refused(&mut self, now: Moment) {
         self.refused.get_or_insert(now);
     }
 
-    /// Whether nothing has listened at the target's address.
+    /// Returns whether the target's address has refused a connection.
     pub(crate) fn is_refused(&self) -> bool {
         self.refused.is_some()
     }
 
-    /// A call got no answer within its limit.
-    pub(crate) fn note_timeout(&mut self) {
+    /// Records that a call got no answer within its timeout.
+    pub(crate) fn record_timeout(&mut self) {
         self.has_timed_out = true;
     }
 
-    /// When a target crashed that was last heard at this time and is known to be dead now.
-    pub(crate) fn crash_time(&self, heard: Moment, now: Moment) -> CrashTime {
+    /// Returns the crash time of a target that is now known to have crashed and that last answered
+    /// at `last_answer`.
+    pub(crate) fn crash_time(&self, last_answer: Moment, now: Moment) -> CrashTime {
         if self.has_timed_out {
-            return Self::unknown_after(heard);
+            return Self::unknown_after(last_answer);
         }
         if let Some(broken) = self.broken {
             return CrashTime {
@@ -60,8 +63,8 @@
             };
         }
         let dead = self.refused.unwrap_or(now);
-        if dead.since(heard) > KNOWN_WITHIN {
-            return Self::unknown_after(heard);
+        if dead.since(last_answer) > KNOWN_WITHIN {
+            return Self::unknown_after(last_answer);
         }
         CrashTime {
             at: dead,
@@ -69,9 +72,9 @@
         }
     }
 
-    fn unknown_after(heard: Moment) -> CrashTime {
+    fn unknown_after(last_answer: Moment) -> CrashTime {
         CrashTime {
-            at: heard,
+            at: last_answer,
             is_known: false,
         }
     }
--- a/crates/mastknot_core/src/agent/crash_log.rs
+++ b/crates/mastknot_core/src/agent/crash_log.rs
@@ -4,34 +4,36 @@
 use crate::job::TargetCrash;
 use crate::types::Moment;
 
-/// For how long crashes are told to entries that link anew: as long as entries remember them.
-const REMEMBERED: Duration = Duration::from_secs(60);
-/// The most crashes that are remembered: a target that crashes each 3 s fills a minute with 20.
+/// Time for which crashes are reported to newly linked entries. Entries remember crashes for the
+/// same time.
+const MAX_AGE: Duration = Duration::from_secs(60);
+/// Maximum number of remembered crashes. A target that crashes every 3 s causes 20 crashes in a
+/// minute.
 const MAX_REMEMBERED: usize = 20;
 
-/// The crashes of a target's lives, for entries that were not linked when they happened.
+/// Recent crashes of a target, for entries that were not linked when the crashes happened.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashLog {
     crashes: VecDeque<(Moment, TargetCrash)>,
 }
 
 impl CrashLog {
-    /// Keeps a crash that happened now.
-    pub(crate) fn note(&mut self, now: Moment, crash: TargetCrash) {
+    /// Records a crash that happened at `now`.
+    pub(crate) fn record(&mut self, now: Moment, crash: TargetCrash) {
         if self.crashes.len() == MAX_REMEMBERED {
             self.crashes.pop_front();
         }
         self.crashes.push_back((now, crash));
     }
 
-    /// What is still worth telling.
+    /// Returns the crashes that entries would still remember, with their current age.
     pub(crate) fn recent(&self, now: Moment) -> Vec<TargetCrash> {
         let ago = |at: &Moment| now.since(*at);
-        let recent = self.crashes.iter().filter(|(at, _)| ago(at) < REMEMBERED);
-        let told = recent.map(|(at, crash)| TargetCrash {
+        let recent = self.crashes.iter().filter(|(at, _)| ago(at) < MAX_AGE);
+        let reports = recent.map(|(at, crash)| TargetCrash {
             ago_ms: ago(at).as_millis() as u32,
             ..crash.clone()
         });
-        told.collect()
+        reports.collect()
     }
 }
--- a/crates/mastknot_core/src/agent/dial_backoff.rs
+++ b/crates/mastknot_core/src/agent/dial_backoff.rs
@@ -1,17 +1,19 @@
 use std::time::Duration;
 
-/// The first pause before an entry is dialed again.
+/// Initial pause before an entry is dialed again.
 const FIRST_PAUSE: Duration = Duration::from_millis(20);
-/// The longest pause while dials fail: a failed dial costs an entry that is down nothing, and its return is noticed
-/// soon.
-const LONGEST_AFTER_FAILURE: Duration = Duration::from_millis(100);
-/// The longest pause after links that ended soon: greeting and settling a link cost more than it gave.
-const LONGEST_AFTER_SHORT_LINK: Duration = Duration::from_secs(2);
-/// A link that stood as long as this was worth its greeting.
-const STEADY: Duration = Duration::from_secs(2);
+/// Upper bound of the pause while dials fail. A failed dial costs an unavailable entry nothing, and
+/// its return is noticed soon.
+const MAX_AFTER_FAILURE: Duration = Duration::from_millis(100);
+/// Upper bound of the pause after short links, for which the handshake and the settling of runs
+/// cost more than the link was worth.
+const MAX_AFTER_SHORT_LINK: Duration = Duration::from_secs(2);
+/// Lifetime from which a link is long enough to justify its handshake.
+const MIN_STEADY_LINK: Duration = Duration::from_secs(2);
 
-/// How long a side waits before it dials an entry again, so that links that come and go under load do not add
-/// to the load: each short link doubles the pause.
+/// Backoff of a side between dials of one entry.
+///
+/// Each short link doubles the pause, so that links which break under load do not add to the load.
 #[derive(Clone, Copy, Debug)]
 pub struct DialBackoff {
     pause: Duration,
@@ -24,21 +26,23 @@
 }
 
 impl DialBackoff {
-    /// The pause after a dial that made no link. `jitter` is a random number from 0.5 to 1.5.
+    /// Returns the pause after a dial that established no link. `jitter` is a random factor from
+    /// 0.5 to 1.5.
     pub fn after_failure(&mut self, jitter: f64) -> Duration {
         let pause = self.pause;
-        let longest = LONGEST_AFTER_FAILURE.max(pause);
+        let longest = MAX_AFTER_FAILURE.max(pause);
         self.pause = (pause * 2).min(longest);
         pause.mul_f64(jitter)
     }
 
-    /// The pause after a link that stood for so long. `jitter` is a random number from 0.5 to 1.5.
+    /// Returns the pause after a link that was open for `stood`. `jitter` is a random factor from
+    /// 0.5 to 1.5.
     pub fn after_link(&mut self, stood: Duration, jitter: f64) -> Duration {
-        if stood >= STEADY {
+        if stood >= MIN_STEADY_LINK {
             self.pause = FIRST_PAUSE;
         }
         let pause = self.pause;
-        self.pause = (pause * 2).min(LONGEST_AFTER_SHORT_LINK);
+        self.pause = (pause * 2).min(MAX_AFTER_SHORT_LINK);
         pause.mul_f64(jitter)
     }
 }
--- a/crates/mastknot_core/src/agent/directory_news.rs
+++ b/crates/mastknot_core/src/agent/directory_digests.rs
@@ -5,50 +5,53 @@
 use super::SessionId;
 use crate::types::Moment;
 
-/// A list of entries that does not come within this is asked for again, from another entry if there is one.
+/// Time after which an unanswered request for the list of entries is repeated, to another entry if
+/// there is one.
 const ANSWER_LIMIT: Duration = Duration::from_millis(400);
 
-/// Which list of entries the linked entries have, told by digests, and whom to ask for it.
+/// Digests of the lists of entries that the linked entries hold, and the entry from which a list is
+/// requested.
 ///
-/// The list that most of them have is the one to hold: an entry that is cut off from the store for long
-/// keeps an old one, and may still be linked here.
+/// The side adopts the list that most entries hold. An entry that has been partitioned from the
+/// store for long keeps an old list and may still be linked here.
 #[derive(Clone, Debug, Default)]
-pub(super) struct DirectoryNews {
+pub(super) struct DirectoryDigests {
     held: u64,
-    announced: IndexMap<SessionId, Announced>,
+    announced: IndexMap<SessionId, AnnouncedList>,
     asked: Option<(SessionId, Moment)>,
 }
 
-/// What an entry has told of its list.
+/// List of entries that one entry announced.
 #[derive(Clone, Copy, Debug)]
-struct Announced {
+struct AnnouncedList {
     digest: u64,
-    /// Whether a change of the list is told within a heartbeat; on standby it takes seconds.
+    /// Whether the entry reports a change of its list within a heartbeat. On standby a report takes
+    /// seconds.
     is_current: bool,
 }
 
-impl DirectoryNews {
-    /// This list is held from now on.
+impl DirectoryDigests {
+    /// Sets the digest of the list that the side holds from now on.
     pub(super) fn hold(&mut self, digest: u64) {
         self.held = digest;
         self.asked = None;
     }
 
-    /// An entry has told which list it has, 0 for none.
+    /// Records the digest of the list that an entry holds; 0 means that the entry has no list.
     pub(super) fn announce(&mut self, session: SessionId, digest: u64) {
         let is_current = true;
         self.announced
-            .insert(session, Announced { digest, is_current });
+            .insert(session, AnnouncedList { digest, is_current });
     }
 
-    /// The link is on standby from now on.
-    pub(super) fn stand_by(&mut self, session: SessionId) {
+    /// Records that a link is on standby from now on.
+    pub(super) fn set_standby(&mut self, session: SessionId) {
         if let Some(announced) = self.announced.get_mut(&session) {
             announced.is_current = false;
         }
     }
 
-    /// A link is gone.
+    /// Removes a closed link.
     pub(super) fn forget(&mut self, session: SessionId) {
         self.announced.shift_remove(&session);
         if self.asked.is_some_and(|(asked, _)| asked == session) {
@@ -56,7 +59,8 @@
         }
     }
 
-    /// The entry to ask now, if another list is to be held.
+    /// Returns the entry from which the list has to be requested now, if the side should hold
+    /// another list.
     pub(super) fn poll(&mut self, now: Moment) -> Option<SessionId> {
         if self.asked.is_some_and(|(_, at)| now < at + ANSWER_LIMIT) {
             return None;
@@ -64,7 +68,7 @@
         if let Some((silent, _)) = self.asked.take()
             && let Some(announced) = self.announced.shift_remove(&silent)
         {
-            // To the end of the line: another entry is asked before it.
+            // The silent entry moves to the end of the line, so that another entry is asked first.
             self.announced.insert(silent, announced);
         }
         let wanted = self.most_common().filter(|wanted| *wanted != self.held)?;
@@ -74,12 +78,13 @@
         self.asked.map(|(session, _)| session)
     }
 
-    /// When an answer is overdue.
+    /// Returns the time at which the answer to the current request is overdue.
     pub(super) fn next_tick(&self) -> Option<Moment> {
         self.asked.map(|(_, at)| at + ANSWER_LIMIT)
     }
 
-    /// The list that most entries have whose word is current; the one held here if as many have that.
+    /// Returns the digest of the list that most entries with current reports hold. A tie is decided
+    /// for the list that the side holds.
     fn most_common(&self) -> Option<u64> {
         let known = self.announced.values().filter(|known| known.digest != 0);
         let has_current = known.clone().any(|known| known.is_current);
--- a/crates/mastknot_core/src/agent/entry_links.rs
+++ b/crates/mastknot_core/src/agent/entry_links.rs
@@ -1,4 +1,4 @@
-//! Links to entries: the welcome, what goes on, runs that are taken over.
+//! Links to entries: the handshake, the report of continuing runs, and the adoption of runs.
 
 use super::owners::{Owner, OwnerKey};
 use super::target_agent::TargetAgent;
@@ -8,33 +8,37 @@
 
 impl TargetAgent {
     pub(super) fn welcome(&mut self, now: Moment, session: SessionId, welcome: EntryWelcome) {
-        let Some(greeting) = self.greetings.swap_remove(&session) else {
+        let Some(handshake) = self.handshakes.swap_remove(&session) else {
             return;
         };
         let key = OwnerKey {
             entry: welcome.entry,
             incarnation: welcome.incarnation,
         };
-        self.end_other_lives(now, &key);
+        self.end_other_incarnations(now, &key);
         self.drop_queued_of(&key);
-        let grants_room = welcome.update.grants_capacity;
+        let grants_capacity = welcome.update.grants_capacity;
         let hall = welcome.hall;
-        let told_drained = welcome.update.drained.revision.max(greeting.told_drained);
-        let news = welcome.update.clone();
-        self.take_news(session, welcome.update);
+        let drained_revision = welcome
+            .update
+            .drained
+            .revision
+            .max(handshake.drained_revision);
+        let update = welcome.update.clone();
+        self.apply_update(session, welcome.update);
         if let Some(profile) = welcome.remembered_target {
             self.target_remembered(profile);
         }
         let has_runs = self.runs.has_any_of(&key);
-        let owner = Owner::new(greeting.hello_sent);
+        let owner = Owner::new(handshake.hello_sent);
         let owner = self.owners.entry(key.clone()).or_insert(owner);
         let replaced = owner.session.take();
-        owner.take_session(session, greeting.hello_sent, has_runs);
-        owner.told_drained = told_drained;
-        owner.grants_room = grants_room;
+        owner.take_session(session, handshake.hello_sent, has_runs);
+        owner.drained_revision = drained_revision;
+        owner.grants_capacity = grants_capacity;
         owner.hall = hall;
         self.sessions.insert(session, key);
-        self.learn_shares(session, &news);
+        self.learn_shares(session, &update);
         if let Some(replaced) = replaced {
             self.sessions.swap_remove(&replaced);
             self.forget_link(replaced);
@@ -42,8 +46,8 @@
         }
     }
 
-    /// Everything of the entry's earlier lives is over: their jobs died with them.
-    fn end_other_lives(&mut self, now: Moment, key: &OwnerKey) {
+    /// Ends the leases of all earlier incarnations of the entry. Their jobs ended with them.
+    fn end_other_incarnations(&mut self, now: Moment, key: &OwnerKey) {
         let is_other =
             |other: &&OwnerKey| other.entry == key.entry && other.incarnation != key.incarnation;
         let others: Vec<OwnerKey> = self.owners.keys().filter(is_other).cloned().collect();
@@ -52,7 +56,7 @@
         }
     }
 
-    /// Says on each new link what goes on, as soon as that is known.
+    /// Reports on each new link which runs continue, as soon as the target has shown this.
     pub(super) fn resume_links(&mut self, now: Moment) {
         if !self.link.is_settled {
             return;
@@ -74,7 +78,7 @@
         let Some(owner) = self.owners.get_mut(key) else {
             return;
         };
-        owner.note_resumed();
+        owner.record_resumed();
         let mut ended = std::mem::take(&mut owner.ended);
         ended.extend(orphaned);
         let Some(session) = owner.session else {
@@ -91,19 +95,19 @@
         };
         self.send(session, resume);
         let entry = key.entry.clone();
-        self.decided(AgentDecision::EntryJoined { entry });
+        self.record_decision(AgentDecision::EntryJoined { entry });
     }
 
     pub(super) fn adopt(&mut self, now: Moment, key: &OwnerKey, runs: Vec<AdoptedRun>) {
         for adopted in runs {
             let Some(percent) = self.survivors.swap_remove(&adopted.run) else {
-                self.tell_end_of_adopted(key, adopted.run);
+                self.report_end_of_adopted(key, adopted.run);
                 continue;
             };
             let run = Run {
                 phase: RunPhase::Running,
                 percent,
-                paced_percent: percent,
+                sampled_percent: percent,
                 kind: adopted.kind,
                 ..Run::new(
                     now,
@@ -116,8 +120,9 @@
         }
     }
 
-    /// A run that was listed as going on has ended before its entry took it over.
-    fn tell_end_of_adopted(&mut self, key: &OwnerKey, run: RunId) {
+    /// Reports the end of a run that was listed as continuing but ended before the entry adopted
+    /// it.
+    fn report_end_of_adopted(&mut self, key: &OwnerKey, run: RunId) {
         if self.runs.get(&run).is_some() {
             return;
         }
--- a/crates/mastknot_core/src/agent/expected_ends.rs
+++ b/crates/mastknot_core/src/agent/expected_ends.rs
@@ -1,4 +1,5 @@
-//! When the room of runs is expected to come free: pure.
+//! Estimates of the time at which runs end and release their capacity. The functions have no side
+//! effects.
 
 use std::time::Duration;
 
@@ -6,46 +7,49 @@
 use crate::job::Capacity;
 use crate::types::Moment;
 
-/// A run that is this much over its expected end is not counted on: nobody knows when it ends.
-const MOST_OVERDUE: Duration = Duration::from_millis(10);
-/// Below this progress a percent more or less makes too much of a difference: the guess is used.
-const LEAST_PERCENT: u8 = 10;
+/// Longest time past its expected end for which a run is still expected to end. Beyond this time
+/// the end cannot be predicted.
+const MAX_OVERDUE: Duration = Duration::from_millis(10);
+/// Lowest progress in percent from which the end is extrapolated. Below it, rounding to whole
+/// percents has too much weight, and the caller's estimate is used.
+const MIN_PERCENT: u8 = 10;
 
-/// When a run is expected to end: by its progress, or by its guess at this pace in percent; none if it is overdue.
-pub(super) fn expected_end(run: &Run, now: Moment, pace_percent: u32) -> Option<Moment> {
+/// Returns the time at which a run is expected to end, from its progress or else from the caller's
+/// estimate scaled by the target's slowdown in percent. Returns `None` if the run is overdue.
+pub(super) fn expected_end(run: &Run, now: Moment, slowdown_percent: u32) -> Option<Moment> {
     if let RunPhase::Stopping { sent, .. } = run.phase {
         // An order to stop takes a round trip to the target.
-        return Some(sent).filter(|sent| now.since(*sent) <= MOST_OVERDUE);
+        return Some(sent).filter(|sent| now.since(*sent) <= MAX_OVERDUE);
     }
     let end = match run.percent {
-        0..LEAST_PERCENT => run.since + run.estimate() * pace_percent / 100,
-        percent => run.since + run.progressed.since(run.since) * 100 / u32::from(percent),
+        0..MIN_PERCENT => run.since + run.estimate() * slowdown_percent / 100,
+        percent => run.since + run.progressed_at.since(run.since) * 100 / u32::from(percent),
     };
-    (end + MOST_OVERDUE >= now).then_some(end)
+    (end + MAX_OVERDUE >= now).then_some(end)
 }
 
-/// The room of the runs that are expected to end until a moment.
-pub(super) fn expected_room(
+/// Returns the capacity of all runs that are expected to end by the time `until`.
+pub(super) fn expected_capacity(
     runs: &RunTable,
     now: Moment,
     until: Moment,
-    pace_percent: u32,
+    slowdown_percent: u32,
 ) -> Capacity {
     let ending = runs.iter().filter(|(_, run)| {
-        let end = expected_end(run, now, pace_percent);
+        let end = expected_end(run, now, slowdown_percent);
         end.is_some_and(|end| end <= until)
     });
-    ending.fold(Capacity::default(), |sum, (_, run)| sum.with(&run.room))
+    ending.fold(Capacity::default(), |sum, (_, run)| sum.with(&run.capacity))
 }
 
-/// The first moment after `after` at which a run is expected to end.
+/// Returns the first time after `after` at which a run is expected to end.
 pub(super) fn next_expected_end(
     runs: &RunTable,
     now: Moment,
     after: Moment,
-    pace_percent: u32,
+    slowdown_percent: u32,
 ) -> Option<Moment> {
     let ends = runs.iter();
-    let ends = ends.filter_map(|(_, run)| expected_end(run, now, pace_percent));
+    let ends = ends.filter_map(|(_, run)| expected_end(run, now, slowdown_percent));
     ends.filter(|end| *end > after).min()
 }
--- a/crates/mastknot_core/src/agent/grant_order.rs
+++ b/crates/mastknot_core/src/agent/grant_order.rs
@@ -1,20 +1,23 @@
 use super::owners::OwnerKey;
 
-/// An entry's need that may get the next piece of room.
+/// Need of an entry that competes for the next piece of capacity.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Claim<'a> {
-    /// Whose it is.
+pub(super) struct CapacityClaim<'a> {
+    /// Entry that needs the capacity.
     pub(super) owner: &'a OwnerKey,
-    /// How urgent it is; 0 is the most urgent.
+    /// Urgency of the need; 0 is the most urgent.
     pub(super) rank: u8,
-    /// The virtual time of its hall, 0 for all where halls do not share; the lowest is next.
-    pub(super) place: u64,
-    /// How much the entry has been given of what it needed; the lowest is next.
+    /// Virtual time of the entry's hall, or 0 if halls do not share. The lowest is served first.
+    pub(super) virtual_time: u64,
+    /// Amount of capacity that the entry has received in proportion to its needs. The lowest is
+    /// served first.
     pub(super) turn: u64,
 }
 
-/// The claim that gets the next piece of room: the most urgent, then the hall that has had
-/// least of its share, then the entry longest without.
-pub(super) fn first_claim<'a>(claims: impl Iterator<Item = Claim<'a>>) -> Option<Claim<'a>> {
-    claims.min_by_key(|claim| (claim.rank, claim.place, claim.turn))
+/// Returns the claim that gets the next piece of capacity: the most urgent one, then that of the
+/// hall that has received the least of its share, then that of the entry that has waited longest.
+pub(super) fn first_claim<'a>(
+    claims: impl Iterator<Item = CapacityClaim<'a>>,
+) -> Option<CapacityClaim<'a>> {
+    claims.min_by_key(|claim| (claim.rank, claim.virtual_time, claim.turn))
 }
--- a/crates/mastknot_core/src/agent/hall_shares.rs
+++ b/crates/mastknot_core/src/agent/hall_shares.rs
@@ -3,52 +3,58 @@
 use crate::job::ShareWeights;
 use crate::types::Hall;
 
-/// How far a hall may get ahead of those that had less, in milliseconds of the whole target given to it alone.
+/// Maximum lead of a hall over halls that have received less, in milliseconds of the whole target.
 ///
-/// What it got beyond is lent for good. So whoever comes back has its whole share within this, and a hall that was
-/// busy while nobody else asked waits no longer than this: the longest tasks end in that time.
+/// Use beyond this lead is not charged. A hall that returns has its whole share again within this
+/// time, and a hall that was busy while no other hall had work waits no longer than this. The
+/// longest tasks end within this time.
 const MAX_LEAD_MS: u64 = 1_000;
 /// The whole target, in thousandths.
 const WHOLE_PERMILLE: u64 = 1_000;
-/// Work at the heaviest weight costs itself: no weight loses a remainder.
+/// Cost of one unit of work, scaled so that at the heaviest weight the cost equals the work.
+/// Division by a weight then loses no remainder.
 const WORK_COST: u64 = ShareWeights::MAX as u64;
 
-/// Who is next among halls whose needs are equally urgent: start-time fair queueing.
+/// Start-time fair queueing between halls whose needs are equally urgent.
 ///
-/// Each hall has a virtual time that advances by the work it was given, divided by its weight. The lowest is next.
-/// The floor is the lowest of those that waited when room was last given: who did not wait starts there, so that an
-/// unused share is lent at once and the next piece after a return goes to the returning hall. Halls at the floor take
-/// no state.
+/// Each hall has a virtual time that advances by the work that the hall received, divided by its
+/// weight. The hall with the lowest virtual time is served next. The floor is the lowest virtual
+/// time of the halls that waited when capacity was last given. Halls that did not wait start at the
+/// floor, so that an unused share is lent immediately and the next piece after a hall returns goes
+/// to that hall. Halls at the floor are not stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HallShares {
     floor: u64,
-    /// The virtual times above the floor.
+    /// Virtual times of the halls above the floor.
     ahead: BTreeMap<Hall, u64>,
 }
 
 impl HallShares {
-    /// The most halls of which a virtual time is kept: a side's entries stand in a few.
+    /// Maximum number of halls with a stored virtual time. The entries of a side belong to a few
+    /// halls.
     pub const MAX_HALLS: usize = 64;
 
-    /// A hall's virtual time.
+    /// Returns the virtual time of a hall.
     pub fn virtual_time(&self, hall: &Hall) -> u64 {
         self.ahead.get(hall).copied().unwrap_or(self.floor)
     }
 
-    /// Its virtual time once it has used `work` more, in thousandths of the target times milliseconds.
+    /// Returns the virtual time that a hall would have after `work` more, in thousandths of the
+    /// target times milliseconds.
     pub fn virtual_time_after(&self, hall: &Hall, work: u64, weights: &ShareWeights) -> u64 {
         self.virtual_time(hall)
             .saturating_add(cost(hall, work, weights))
     }
 
-    /// Room is to be given while these halls wait.
+    /// Records which halls wait when capacity is about to be given, and raises the floor to the
+    /// lowest of their virtual times.
     pub fn record_waiting<'a>(&mut self, waiting: impl Iterator<Item = &'a Hall>) {
         if let Some(lowest) = waiting.map(|hall| self.virtual_time(hall)).min() {
             self.raise_floor(lowest);
         }
     }
 
-    /// A hall has been given `work`.
+    /// Charges a hall for `work` that it has been given.
     pub fn charge(&mut self, hall: &Hall, work: u64, weights: &ShareWeights) {
         let time = self.virtual_time_after(hall, work, weights);
         let lead = cost(hall, WHOLE_PERMILLE * MAX_LEAD_MS, weights);
@@ -57,7 +63,7 @@
         self.keep_bounded();
     }
 
-    /// A hall did not use `work` that it was charged for.
+    /// Refunds `work` for which a hall was charged but which it did not use.
     pub fn refund(&mut self, hall: &Hall, work: u64, weights: &ShareWeights) {
         let cost = cost(hall, work, weights);
         if let Some(time) = self.ahead.get_mut(hall) {
@@ -66,7 +72,7 @@
         self.forget_behind();
     }
 
-    /// Of how many halls a virtual time is kept.
+    /// Returns the number of halls with a stored virtual time.
     pub fn tracked_halls(&self) -> usize {
         self.ahead.len()
     }
@@ -81,7 +87,8 @@
         self.ahead.retain(|_, time| *time > floor);
     }
 
-    /// Forgets the hall that is ahead by the least: it loses the least by it.
+    /// Removes the hall with the smallest lead when the bound is exceeded, because it loses the
+    /// least.
     fn keep_bounded(&mut self) {
         if self.ahead.len() <= Self::MAX_HALLS {
             return;
@@ -93,7 +100,7 @@
     }
 }
 
-/// By how much a hall's virtual time advances.
+/// Returns the time by which `work` advances the virtual time of a hall.
 fn cost(hall: &Hall, work: u64, weights: &ShareWeights) -> u64 {
     work.saturating_mul(WORK_COST) / u64::from(weights.of_hall(hall))
 }
--- a/crates/mastknot_core/src/agent/hall_totals.rs
+++ b/crates/mastknot_core/src/agent/hall_totals.rs
@@ -4,24 +4,25 @@
 use crate::job::ShareWeights;
 use crate::types::Hall;
 
-/// What one hall was due and had at a target since the start of its side, in thousandths of the target times
-/// milliseconds.
+/// Work that one hall was entitled to and that it received at a target since its side started, in
+/// thousandths of the target times milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HallTotal {
-    /// Its part by weight of all that was started while it waited.
+    /// The hall's share by weight of all work that was started while the hall waited.
     pub due: u64,
-    /// What was started for it while any hall waited.
+    /// Work that was started for the hall while any hall waited.
     pub had: u64,
 }
 
-/// What all halls were due and had.
+/// Totals of all halls.
 #[derive(Clone, Debug, Default)]
 pub struct HallTotals {
     halls: BTreeMap<Hall, HallTotal>,
 }
 
 impl HallTotals {
-    /// Work was started for a hall while those in `waiting` waited, each named once.
+    /// Records work that was started for a hall while the halls in `waiting` waited. `waiting` must
+    /// name each hall once.
     pub fn record_started(
         &mut self,
         hall: &Hall,
@@ -43,12 +44,13 @@
         }
     }
 
-    /// What each hall was due and had.
+    /// Returns the totals by hall.
     pub fn halls(&self) -> &BTreeMap<Hall, HallTotal> {
         &self.halls
     }
 
-    /// Halls past the bound are not counted.
+    /// Returns the total of a hall, or `None` for a new hall once the maximum number of halls is
+    /// reached.
     fn of(&mut self, hall: &Hall) -> Option<&mut HallTotal> {
         let is_full = self.halls.len() >= HallShares::MAX_HALLS;
         if is_full && !self.halls.contains_key(hall) {
--- a/crates/mastknot_core/src/agent/job_claims.rs
+++ b/crates/mastknot_core/src/agent/job_claims.rs
@@ -5,30 +5,30 @@
 use crate::job::{ClaimAnswer, JobClaim, JobId};
 use crate::types::Moment;
 
-/// An entry that waits until the claim of another one ends.
+/// Entry that waits until the claim of another entry ends.
 #[derive(Clone, Debug)]
 struct Waiter {
     owner: OwnerKey,
     term: Duration,
 }
 
-/// The claim of one entry on a job.
+/// Claim of one entry on a job.
 #[derive(Clone, Debug)]
 struct Claim {
     holder: OwnerKey,
     until: Moment,
-    /// The others that have asked since, in that order.
+    /// Other entries that have asked for the job since, in the order of their requests.
     waiting: VecDeque<Waiter>,
 }
 
-/// A claim that was granted to an entry that had to wait for it.
+/// Claim that was granted to an entry that had waited for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct GrantedClaim {
     pub(super) job: JobId,
     pub(super) owner: OwnerKey,
 }
 
-/// Which entry may start each of the jobs about which this side is asked.
+/// Claims of jobs. A claim decides which entry may start a job.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobClaims {
     claims: HashMap<JobId, Claim>,
@@ -36,7 +36,8 @@
 }
 
 impl JobClaims {
-    /// Grants a job to the first entry that asks, and renews its claim; others wait.
+    /// Grants a job to the first entry that asks for it, or renews the claim of its holder. Other
+    /// entries wait.
     pub(super) fn ask(&mut self, now: Moment, owner: &OwnerKey, asked: &JobClaim) -> ClaimAnswer {
         let job = asked.job;
         let held = self.claims.get_mut(&job);
@@ -53,7 +54,8 @@
         ClaimAnswer::Held { by }
     }
 
-    /// An entry needs a job no more; returns the claim that is granted next.
+    /// Releases the claim of an entry that no longer needs the job; returns the claim that is
+    /// granted next.
     pub(super) fn release(
         &mut self,
         now: Moment,
@@ -68,8 +70,8 @@
         None
     }
 
-    /// The link to an entry is gone: it waits for nothing any more, and what it has claimed ends soon, unless it claims
-    /// that again.
+    /// Shortens the claims of an entry whose link was closed, and removes the entry from all queues
+    /// of waiting entries. The claims end at `until` unless the entry claims the jobs again.
     pub(super) fn shorten(&mut self, owner: &OwnerKey, until: Moment) {
         let mut held = Vec::new();
         for (job, claim) in &mut self.claims {
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Ends the claims whose time is over; returns those that are granted in their place.
-    pub(super) fn end_lapsed(&mut self, now: Moment) -> Vec<GrantedClaim> {
+    /// Ends expired claims; returns the claims that are granted in their place.
+    pub(super) fn end_expired(&mut self, now: Moment) -> Vec<GrantedClaim> {
         let mut granted = Vec::new();
         while let Some((until, job)) = self.ends.first().copied() {
             if until > now {
@@ -95,24 +97,25 @@
         granted
     }
 
-    /// When the first claim ends for which an entry waits.
+    /// Returns the time at which the first claim ends for which another entry waits.
     pub(super) fn due(&self) -> Option<Moment> {
         let awaited = self.claims.values();
         let awaited = awaited.filter(|claim| !claim.waiting.is_empty());
         awaited.map(|claim| claim.until).min()
     }
 
-    /// Whether an entry has claimed a job.
-    pub(super) fn knows(&self, job: JobId) -> bool {
+    /// Returns whether any entry has claimed a job.
+    pub(super) fn is_claimed(&self, job: JobId) -> bool {
         self.claims.contains_key(&job)
     }
 
-    /// How many jobs are claimed.
+    /// Returns the number of claimed jobs.
     pub(super) fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Takes the claim of a job's holder away and gives it to the first that waits.
+    /// Ends the claim of the current holder and grants the job to the entry that has waited
+    /// longest.
     fn pass_on(&mut self, now: Moment, job: JobId) -> Option<GrantedClaim> {
         let mut claim = self.claims.remove(&job)?;
         self.ends.remove(&(claim.until, job));
@@ -125,7 +128,8 @@
         Some(GrantedClaim { job, owner })
     }
 
-    /// Lets an entry hold a job for at least so long; whoever waits goes on waiting.
+    /// Makes an entry the holder of a job until `until` or the end of the present claim, whichever
+    /// is later. Waiting entries keep their places.
     fn hold(&mut self, job: JobId, owner: &OwnerKey, until: Moment) {
         let Some(claim) = self.claims.get_mut(&job) else {
             let claim = Claim {
--- a/crates/mastknot_core/src/agent/learning.rs
+++ b/crates/mastknot_core/src/agent/learning.rs
@@ -1,4 +1,5 @@
-//! What a side learns from entries and holds for others: the entries, the configuration.
+//! Data that a side learns from entries and holds for others: the list of entries and the
+//! configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,34 +12,35 @@
 };
 use crate::types::Moment;
 
-/// A side fetches only what it is still to hold after this: several entries tell of a version within a heartbeat, and
-/// while many links are made anew each entry chooses other holders for a moment.
-const PATIENCE: Duration = Duration::from_millis(200);
+/// Time after which a missing version of the configuration is fetched. Several entries announce a
+/// version within one heartbeat, and while many links are opened at once each entry briefly chooses
+/// other holders. The side fetches only what it is still meant to hold after this time.
+const FETCH_DELAY: Duration = Duration::from_millis(200);
 
 impl TargetAgent {
-    /// The version of the configuration that is held here, 0 for none.
+    /// Returns the version of the configuration that this side holds, or 0 if it holds none.
     pub(super) fn config_version(&self) -> u64 {
         self.document.as_ref().map_or(0, |held| held.version)
     }
 
-    /// An entry has told what it has.
-    pub(super) fn take_news(&mut self, session: SessionId, news: EntryUpdate) {
-        self.fetch.record_offer(session, news.config_version);
-        self.directory.announce(session, news.directory);
+    /// Takes in an update in which an entry announces what it holds.
+    pub(super) fn apply_update(&mut self, session: SessionId, update: EntryUpdate) {
+        self.fetch.record_offer(session, update.config_version);
+        self.directory.announce(session, update.directory);
         let key = self.sessions.get(&session);
         if let Some(owner) = key.and_then(|key| self.owners.get_mut(key)) {
-            owner.grants_room = news.grants_capacity;
+            owner.grants_capacity = update.grants_capacity;
         }
-        self.learn_shares(session, &news);
-        self.learn_drained_halls(session, news.drained);
+        self.learn_shares(session, &update);
+        self.learn_drained_halls(session, update.drained);
     }
 
-    /// An entry has told which halls are drained; what is older changes nothing. Other entries are told unless they
-    /// are known to have heard it.
+    /// Takes in the drained halls that an entry reports, unless the side knows a newer revision.
+    /// Entries that are not known to have this revision receive it with their next report.
     fn learn_drained_halls(&mut self, session: SessionId, drained: Arc<DrainedHalls>) {
         let key = self.sessions.get(&session);
         if let Some(owner) = key.and_then(|key| self.owners.get_mut(key)) {
-            owner.told_drained = owner.told_drained.max(drained.revision);
+            owner.drained_revision = owner.drained_revision.max(drained.revision);
         }
         if !drained.is_newer_than(&self.drained) {
             return;
@@ -46,7 +48,7 @@
         let was_drained = self.is_hall_drained();
         self.drained = drained;
         if self.is_hall_drained() != was_drained {
-            self.decided(AgentDecision::HallDrained {
+            self.record_decision(AgentDecision::HallDrained {
                 is_drained: self.is_hall_drained(),
                 revision: self.drained.revision,
                 runs: self.runs.len(),
@@ -54,19 +56,20 @@
         }
     }
 
-    /// Whether operators have drained the hall that this side stands in.
+    /// Returns whether operators have drained the hall in which this side runs.
     pub fn is_hall_drained(&self) -> bool {
         self.drained.contains(&self.settings.hall)
     }
 
-    /// A link is gone, and with it what was asked there.
+    /// Drops the requests that were made on a closed link.
     pub(super) fn forget_link(&mut self, session: SessionId) {
         self.fetch.forget(session);
         self.documents.forget(session);
         self.directory.forget(session);
     }
 
-    /// Asks one entry at a time for the entries that it knows, if they are others than those known here.
+    /// Requests the list of entries from one entry at a time, if that entry holds another list than
+    /// this side.
     pub(super) fn fetch_directory(&mut self, now: Moment) {
         if let Some(session) = self.directory.poll(now) {
             self.send(session, SideReport::FetchEntries);
@@ -85,7 +88,8 @@
         self.effects.push(AgentEffect::DialEntries(entries));
     }
 
-    /// Sends what others have asked for, and asks for what is newer elsewhere.
+    /// Sends the next part of the configuration that an entry has requested, and requests newer
+    /// parts from other entries.
     pub(super) fn relay_documents(&mut self, now: Moment) {
         let link = self.settings.link;
         let part = self.documents.poll(now, self.document.as_ref(), link);
@@ -93,7 +97,7 @@
             self.send(session, SideReport::DocumentPart(part));
         }
         let known = self.config_version();
-        if let Some((session, request)) = self.fetch.poll(now, known, PATIENCE, link) {
+        if let Some((session, request)) = self.fetch.poll(now, known, FETCH_DELAY, link) {
             self.send(session, SideReport::FetchDocument(request));
         }
     }
@@ -106,15 +110,16 @@
         }
     }
 
-    /// When something of this is due.
+    /// Returns the next time at which a request for the list of entries or a transfer of the
+    /// configuration is due.
     pub(super) fn relay_due(&self) -> Option<Moment> {
         let asked = self.directory.next_tick();
-        let fetched = self.fetch.next_tick(PATIENCE);
+        let fetched = self.fetch.next_tick(FETCH_DELAY);
         let served = self.documents.next_tick();
         asked.into_iter().chain(fetched).chain(served).min()
     }
 
-    /// The newest configuration that is held.
+    /// Returns the newest configuration that this side holds.
     pub fn document(&self) -> Option<&ConfigDocument> {
         self.document.as_ref()
     }
--- a/crates/mastknot_core/src/agent/mod.rs
+++ b/crates/mastknot_core/src/agent/mod.rs
@@ -1,10 +1,10 @@
-//! The core of a side that runs sized tasks on its target under leases.
+//! Core of a side that runs sized tasks on its target under leases.
 //!
-//! - [`TargetAgent`]: `step(now, event) -> effects`
-//! - [`RunTable`]: the runs that take room
-//! - [`HallShares`]: whose hall is next among equals
-//! - [`DialOrder`]: which entries it dials first
-//! - [`TargetHealth`]: how a target's recent ends change what it is given
+//! - [`TargetAgent`]: state machine with `step(now, event) -> effects`
+//! - [`RunTable`]: runs that take capacity at the target
+//! - [`HallShares`]: order of halls whose needs are equally urgent
+//! - [`DialOrder`]: order in which a side dials entries
+//! - [`TargetHealth`]: restriction of a target after failed runs
 
 mod agent_decision;
 mod agent_effect;
@@ -18,7 +18,7 @@
 mod crash_log;
 mod dial_backoff;
 mod dial_order;
-mod directory_news;
+mod directory_digests;
 mod entry_links;
 mod expected_ends;
 mod grant_order;
@@ -27,25 +27,25 @@
 mod hall_totals;
 mod job_claims;
 mod learning;
-mod looks;
 mod offers;
 mod order_answers;
 mod orders;
 mod owners;
+mod probe_results;
+mod probes;
 mod queued_starts;
-mod rebirths;
 mod reporting;
 mod run_table;
-mod run_views;
 mod sharing;
 mod side_load;
 mod target_agent;
 mod target_condition;
 mod target_health;
+mod target_incarnations;
 mod target_link;
-mod target_lives;
-mod target_pace;
 mod target_reports;
+mod target_restarts;
+mod target_slowdown;
 
 pub use agent_decision::{AgentDecision, LeaseEndCause};
 pub use agent_effect::AgentEffect;
@@ -62,8 +62,8 @@
 pub use run_table::{Run, RunPhase, RunTable};
 pub use target_agent::TargetAgent;
 pub use target_health::TargetHealth;
-pub use target_lives::TargetReport;
+pub use target_incarnations::TargetReport;
 
-/// One link between a side and an entry, unique within its process.
+/// Identifier of a link between a side and an entry, unique within its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
--- a/crates/mastknot_core/src/agent/offers.rs
+++ b/crates/mastknot_core/src/agent/offers.rs
@@ -1,45 +1,48 @@
-//! Room that is kept for one entry for a moment.
+//! Capacity that is reserved for one entry for a short time.
 //!
-//! While tasks wait at several entries, each end is news for all of them, and all but one of their
-//! starts would come too late. So the side offers what comes free to one entry after the other, by
-//! urgency and in proportion to what waits there; the others do not see it.
+//! While tasks wait at several entries, all of them would react to each run that ends, and all but
+//! one of their starts would arrive too late. The side therefore offers the capacity that becomes
+//! free to one entry after the other, by urgency and in proportion to the work that waits there.
+//! The other entries do not see it.
 
 use std::time::Duration;
 
 use super::AgentDecision;
-use super::grant_order::{Claim, first_claim};
+use super::grant_order::{CapacityClaim, first_claim};
 use super::granting;
 use super::owners::{Duty, Owner, OwnerKey};
 use super::target_agent::TargetAgent;
 use crate::job::{Capacity, WaitingNeed};
 use crate::types::Moment;
 
-/// How long an offer is kept for an entry that says nothing.
+/// Time for which an offer is kept if its entry sends nothing.
 const OFFER_TIME: Duration = Duration::from_millis(30);
-/// An entry that left a whole offer unused gets none for this long.
+/// Time for which an entry gets no further offer after it has left an offer entirely unused.
 const DECLINED_PAUSE: Duration = Duration::from_millis(60);
-/// While tasks wait anywhere, what is kept for nobody is shown to all only from this share of the
-/// target on, in thousandths: less draws starts that come too late.
+/// Share of the target, in thousandths, from which unreserved capacity is reported to all entries
+/// while tasks wait at any of them. A smaller amount would attract starts that arrive too late.
 const SHOWN_FROM_PERMILLE: u32 = 250;
-/// What an entry's turn costs when it gets all that it needs, in units of [`super::owners::Owner::turn`].
+/// Cost of an entry's turn if the entry gets all that it needs, in units of
+/// [`super::owners::Owner::turn`].
 const FULL_TURN: u64 = 1_000;
 
-/// Room that only one entry may use.
+/// Capacity that only one entry may use.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RoomOffer {
-    /// The report that told of it; 0 while none has.
+pub(super) struct CapacityOffer {
+    /// Number of the report that announced the offer; 0 until a report has.
     pub(super) number: u64,
-    /// What is left of it.
+    /// Capacity that is left of the offer.
     pub(super) left: Capacity,
-    /// When it ends by itself.
+    /// Time at which the offer expires.
     pub(super) until: Moment,
-    /// Whether the entry is known to need it: its next heartbeat returns what is left of it.
+    /// Whether the entry is known to need the capacity. If so, its next heartbeat returns what is
+    /// left of the offer.
     pub(super) is_needed: bool,
     is_used: bool,
 }
 
-impl RoomOffer {
-    /// An offer of which the entry has not been told yet.
+impl CapacityOffer {
+    /// Creates an offer that the entry has not been told of yet.
     pub(super) fn new(left: Capacity, until: Moment, is_needed: bool) -> Self {
         Self {
             number: 0,
@@ -52,33 +55,36 @@
 }
 
 impl Owner {
-    /// An offer is over. Where room is granted the entry knows that by itself.
+    /// Removes the offer of the entry. Where capacity is granted, the entry knows by itself that a
+    /// grant has ended.
     pub(super) fn drop_offer(&mut self, is_granting: bool) {
         let offer = self.offer.take();
         if let Some(offer) = offer.filter(|offer| is_granting && offer.number != 0) {
-            self.told.free = self.told.free.without(&offer.left);
+            self.reported.free = self.reported.free.without(&offer.left);
         }
     }
 
-    /// The entry gets this room of what it needs: its next turn comes later.
-    pub(super) fn note_turn(&mut self, left: &Capacity, need: &WaitingNeed) {
+    /// Records that the entry gets `left` of the capacity that it needs, which moves its next turn
+    /// back.
+    pub(super) fn advance_turn(&mut self, left: &Capacity, need: &WaitingNeed) {
         self.turn += FULL_TURN * u64::from(left.cpu_millis.max(1))
             / u64::from(need.required_capacity.cpu_millis.max(1));
     }
 }
 
-/// The room of the target as all entries are told of it.
+/// Capacity of the target that is reported to all entries alike.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SharedRoom {
-    /// What is free.
+pub(super) struct SharedCapacity {
+    /// Free capacity.
     free: Capacity,
-    /// What of it is shown to every entry.
+    /// Part of the free capacity that is reported to every entry.
     shown: Capacity,
     is_granting: bool,
 }
 
 impl TargetAgent {
-    /// What an entry may start now: what is kept for it and what is kept for nobody.
+    /// Returns the capacity that an entry may use now: what is reserved for the entry and what is
+    /// not reserved.
     pub(super) fn available_to(&self, key: &OwnerKey) -> Capacity {
         let offer = self.owners.get(key).and_then(|owner| owner.offer);
         let own = offer.map(|offer| offer.left).unwrap_or_default();
@@ -86,22 +92,22 @@
             .smaller_of(&self.free_capacity())
     }
 
-    /// What an entry is told that it may start.
-    pub(super) fn shown_to(&self, owner: &Owner, shared: &SharedRoom) -> Capacity {
+    /// Returns the capacity that is reported to an entry as usable.
+    pub(super) fn shown_to(&self, owner: &Owner, shared: &SharedCapacity) -> Capacity {
         let own = owner.offer.map(|offer| offer.left).unwrap_or_default();
         let shown = own.with(&shared.shown);
         match shared.is_granting {
-            // Some of it may still be taken: starts wait for that here.
+            // Some of this capacity may still be in use; starts are queued here until it is free.
             true => shown,
             false => shown.smaller_of(&shared.free),
         }
     }
 
-    /// What is the same for all entries in what they are told.
-    pub(super) fn shared_room(&self) -> SharedRoom {
+    /// Returns the part of the reports that is the same for all entries.
+    pub(super) fn shared_capacity(&self) -> SharedCapacity {
         let is_granting = self.is_granting();
         let unreserved = match is_granting {
-            true => self.untouched(),
+            true => self.expected_unreserved(),
             false => self.unreserved(),
         };
         let has_need = self.owners.values().any(|owner| owner.need.is_some());
@@ -114,7 +120,7 @@
             false => unreserved.max_permille_of(&self.capacity()),
         };
         let is_little = share < shown_from;
-        SharedRoom {
+        SharedCapacity {
             free: self.free_capacity(),
             is_granting,
             shown: match (has_need || is_granting) && is_little {
@@ -124,32 +130,33 @@
         }
     }
 
-    /// What is free and kept for nobody.
+    /// Returns the free capacity that is not reserved for any entry.
     pub(super) fn unreserved(&self) -> Capacity {
         self.free_capacity().without(&self.promised())
     }
 
-    /// A start uses up the entry's own offer first.
-    pub(super) fn use_offer(&mut self, key: &OwnerKey, room: &Capacity) {
+    /// Takes the capacity of a start, from the entry's own offer first.
+    pub(super) fn use_offer(&mut self, key: &OwnerKey, capacity: &Capacity) {
         let offer = self
             .owners
             .get_mut(key)
             .and_then(|owner| owner.offer.as_mut());
         if let Some(offer) = offer {
-            offer.left = offer.left.without(room);
+            offer.left = offer.left.without(capacity);
             offer.is_used = true;
         }
         if self.is_granting() {
-            self.note_served(key, room);
+            self.record_served(key, capacity);
         }
     }
 
-    /// An entry has told what waits there, after all reports up to `heard`.
+    /// Takes in the need that an entry reports after having received all reports up to the given
+    /// number.
     pub(super) fn take_need(
         &mut self,
         now: Moment,
         key: &OwnerKey,
-        heard: u64,
+        last_received: u64,
         need: Option<WaitingNeed>,
     ) {
         let is_granting = self.is_granting();
@@ -160,15 +167,17 @@
         if owner.need.is_none() && need.is_some() {
             owner.turn = owner.turn.max(floor.unwrap_or_default());
         }
-        // On standby it may start nothing here: room kept for it would stand empty.
+        // An entry on standby may start nothing here, so capacity reserved for it would stay
+        // unused.
         owner.need = need.filter(|_| owner.duty == Duty::Active);
         let Some(offer) = owner.offer else {
             return;
         };
-        // It has seen the offer and sent its starts before this.
-        if offer.number != 0 && heard >= offer.number && offer.is_needed {
+        // The entry has received the offer, and has sent its starts before this message.
+        if offer.number != 0 && last_received >= offer.number && offer.is_needed {
             owner.drop_offer(is_granting);
-            // Where room is granted an entry asks several sides at once: what it does not need any more is no refusal.
+            // Where capacity is granted, an entry asks several sides at once. Not to need a grant
+            // any more does not count as declining it.
             let is_declined = !is_granting || owner.need.is_some();
             if !offer.is_used && is_declined {
                 owner.declined_until = now + DECLINED_PAUSE;
@@ -179,40 +188,40 @@
     pub(super) fn end_old_offers(&mut self, now: Moment) {
         let is_granting = self.is_granting();
         for owner in self.owners.values_mut() {
-            let is_old = |offer: &RoomOffer| offer.until <= now;
+            let is_old = |offer: &CapacityOffer| offer.until <= now;
             if owner.offer.as_ref().is_some_and(is_old) {
                 owner.drop_offer(is_granting);
             }
         }
     }
 
-    /// When the next offer ends by itself.
+    /// Returns the time at which the next offer expires.
     pub(super) fn offers_end(&self) -> Option<Moment> {
         let offers = self.owners.values().filter_map(|owner| owner.offer);
         offers.map(|offer| offer.until).min()
     }
 
-    /// Keeps free room for entries at which tasks wait.
+    /// Reserves free capacity for entries with waiting tasks.
     pub(super) fn make_offers(&mut self, now: Moment) {
         if self.is_granting() {
             self.make_grants(now);
             return;
         }
         loop {
-            let room = self.unreserved();
-            let Some(key) = self.next_in_turn(now, &room) else {
+            let capacity = self.unreserved();
+            let Some(key) = self.next_in_turn(now, &capacity) else {
                 return;
             };
-            self.note_waiting_halls();
+            self.record_waiting_halls();
             let Some(owner) = self.owners.get_mut(&key) else {
                 return;
             };
             let need = owner.need.clone().unwrap_or_default();
-            let left = room.smaller_of(&need.required_capacity);
-            owner.note_turn(&left, &need);
-            owner.offer = Some(RoomOffer::new(left, now + OFFER_TIME, true));
+            let left = capacity.smaller_of(&need.required_capacity);
+            owner.advance_turn(&left, &need);
+            owner.offer = Some(CapacityOffer::new(left, now + OFFER_TIME, true));
             let hall = owner.hall.clone();
-            self.decided(AgentDecision::Offered {
+            self.record_decision(AgentDecision::Offered {
                 entry: key.entry,
                 hall,
                 cpu_millis: left.cpu_millis,
@@ -222,21 +231,23 @@
         }
     }
 
-    /// The entry that gets the next offer: the most urgent need, then the one longest without.
-    pub(super) fn next_in_turn(&self, now: Moment, room: &Capacity) -> Option<OwnerKey> {
-        let places = self.hall_places();
+    /// Returns the entry that gets the next offer: the one with the most urgent need, then the one
+    /// that has waited longest.
+    pub(super) fn next_in_turn(&self, now: Moment, capacity: &Capacity) -> Option<OwnerKey> {
+        let virtual_times = self.hall_virtual_times();
         let waiting = self.owners.iter().filter_map(|(key, owner)| {
             let need = owner.need.as_ref()?;
             let may_have = owner.is_resumed
                 && owner.session.is_some()
                 && owner.offer.is_none()
                 && owner.declined_until <= now;
-            let is_served =
-                may_have && room.covers(&need.smallest_task) && *room != Capacity::default();
-            is_served.then_some(Claim {
+            let is_served = may_have
+                && capacity.covers(&need.smallest_task)
+                && *capacity != Capacity::default();
+            is_served.then_some(CapacityClaim {
                 owner: key,
                 rank: need.rank,
-                place: places.get(&owner.hall).copied().unwrap_or_default(),
+                virtual_time: virtual_times.get(&owner.hall).copied().unwrap_or_default(),
                 turn: owner.turn,
             })
         });
--- a/crates/mastknot_core/src/agent/order_answers.rs
+++ b/crates/mastknot_core/src/agent/order_answers.rs
@@ -1,4 +1,4 @@
-//! What the target's answers to orders and stops change, and the end of a run.
+//! Handling of the target's answers to orders, and of the end of a run.
 
 use super::target_agent::TargetAgent;
 use super::{AgentDecision, OrderOutcome, OrderRefusal, Run, RunPhase};
@@ -21,14 +21,14 @@
         };
         if is_acknowledged {
             acknowledged.get_or_insert(now);
-            self.look_not_before = now;
+            self.probe_not_before = now;
         } else if acknowledged.is_none() {
             let unanswered = AgentDecision::StopUnanswered {
                 run: id,
                 times: *times,
                 since_ms: now.since(*first).as_millis() as u64,
             };
-            self.decided(unanswered);
+            self.record_decision(unanswered);
         }
     }
 
@@ -38,11 +38,11 @@
             OrderOutcome::Refused(refusal) => self.order_refused(now, id, refusal),
             OrderOutcome::Unreachable => {
                 if !self.link.is_doubtful() {
-                    // The look that is under way may wait for long.
-                    self.look = None;
+                    // The probe in flight may wait at the target for long.
+                    self.probe = None;
                 }
-                self.link.contact_loss.note_refused(now);
-                self.look_not_before = now;
+                self.link.contact_loss.record_refused(now);
+                self.probe_not_before = now;
                 self.end_unstarted(now, id, NotRunCause::TargetUnavailable);
             }
             OrderOutcome::NoAnswer => self.order_unanswered(now, id),
@@ -51,10 +51,10 @@
 
     fn order_started(&mut self, now: Moment, id: RunId, clock_ms: u64) {
         let ordered = self.runs.get(&id).map(|run| run.since);
-        if ordered.is_some_and(|ordered| self.link.is_clock_anew(ordered, clock_ms)) {
-            // An answer does not say which life gives it; only a look can tell.
-            self.look = None;
-            self.look_not_before = now;
+        if ordered.is_some_and(|ordered| self.link.is_clock_restarted(ordered, clock_ms)) {
+            // The answer does not say which incarnation sent it; only a probe can show that.
+            self.probe = None;
+            self.probe_not_before = now;
         } else {
             self.link.read_clock(now, clock_ms);
         }
@@ -62,9 +62,9 @@
             && matches!(run.phase, RunPhase::Ordered | RunPhase::Unconfirmed { .. })
         {
             run.phase = RunPhase::Running;
-            run.progressed = now;
+            run.progressed_at = now;
             self.link.is_confirmed = true;
-            self.answers.note(now.since(run.since));
+            self.answer_times.record(now.since(run.since));
         }
     }
 
@@ -74,10 +74,11 @@
         };
         if run.phase == RunPhase::Ordered {
             run.phase = RunPhase::Unconfirmed { since: now };
-            // Only a look that is sent from now on can tell; the one under way may wait for long.
-            self.look = None;
-            self.look_not_before = now;
-            self.decided(AgentDecision::OrderUnanswered { run: id });
+            // Only a probe that is sent from now on can show the outcome, and the probe in flight
+            // may wait for long.
+            self.probe = None;
+            self.probe_not_before = now;
+            self.record_decision(AgentDecision::OrderUnanswered { run: id });
         }
     }
 
@@ -97,7 +98,7 @@
             }
             OrderRefusal::OtherIncarnation => {
                 self.end_unstarted(now, id, NotRunCause::TargetUnavailable);
-                self.other_life_answered(now);
+                self.other_incarnation_answered(now);
             }
         }
     }
@@ -106,12 +107,13 @@
         let phase = self.runs.get(&id).map(|run| run.phase);
         match phase {
             Some(RunPhase::Ordered) => self.end_run(now, id, EndOfRun::NotRun(cause)),
-            // An earlier copy of the order may have been done: only a look can tell.
-            _ => self.look_not_before = now,
+            // The target may have carried out an earlier transmission of the order; only a probe
+            // can show that.
+            _ => self.probe_not_before = now,
         }
     }
 
-    /// Takes a run out and tells its entry.
+    /// Removes a run that has ended and queues its end for the report to its entry.
     pub(super) fn end_run(&mut self, now: Moment, id: RunId, end: EndOfRun) {
         let Some(run) = self.runs.remove(&id) else {
             return;
@@ -119,11 +121,11 @@
         let ran = now.since(run.since);
         let ended = EndedRun {
             run: id,
-            end: self.judge(now, end, &run),
+            end: self.assess_end(now, end, &run),
             ran_ms: ran.as_millis() as u32,
         };
         self.settle_charge(&run, ended.end, ended.ran_ms);
-        self.decided(AgentDecision::RunEnded {
+        self.record_decision(AgentDecision::RunEnded {
             run: id,
             end: ended.end,
             ran_ms: ended.ran_ms,
@@ -133,12 +135,14 @@
         }
     }
 
-    /// What an end says of the target.
-    fn judge(&mut self, now: Moment, end: EndOfRun, run: &Run) -> EndOfRun {
+    /// Updates slowdown and health of the target from the end of a run. Returns the end as it is
+    /// reported to the entry.
+    fn assess_end(&mut self, now: Moment, end: EndOfRun, run: &Run) -> EndOfRun {
         match end {
             EndOfRun::Done => {
-                let left = 100 - run.paced_percent.min(100);
-                self.pace.note(now.since(run.paced), left, run.estimate());
+                let left = 100 - run.sampled_percent.min(100);
+                self.slowdown
+                    .record(now.since(run.sampled_at), left, run.estimate());
                 self.health.record_done();
                 end
             }
--- a/crates/mastknot_core/src/agent/orders.rs
+++ b/crates/mastknot_core/src/agent/orders.rs
@@ -1,8 +1,8 @@
-//! What entries order: starts, stops, standby.
+//! Handling of the orders of entries: starts, stops, standby.
 
 use std::time::Duration;
 
-use super::granting::StartVerdict;
+use super::granting::StartDecision;
 use super::owners::{Duty, Owner, OwnerKey};
 use super::target_agent::TargetAgent;
 use super::{AgentDecision, AgentEffect, Run, RunPhase, SessionId};
@@ -24,21 +24,21 @@
             EntryOrder::Start(start) => self.start(now, &key, start),
             EntryOrder::Stop(run) => self.stop_for(now, &key, run),
             EntryOrder::Heartbeat {
-                last_received: heard,
+                last_received,
                 need,
-                update: news,
+                update,
             } => {
-                self.take_heard(now, &key, heard);
-                self.take_need(now, &key, heard, need);
-                if let Some(news) = news {
-                    self.take_news(session, news);
+                self.record_received(now, &key, last_received);
+                self.take_need(now, &key, last_received, need);
+                if let Some(update) = update {
+                    self.apply_update(session, update);
                 }
             }
             EntryOrder::Standby => {
-                self.directory.stand_by(session);
-                self.stand_by(now, &key);
+                self.directory.set_standby(session);
+                self.set_standby(now, &key);
             }
-            EntryOrder::Activate => self.wake(&key),
+            EntryOrder::Activate => self.activate(&key),
             EntryOrder::Entries(entries) => self.learn_entries(entries),
             EntryOrder::FetchDocument(request) => self.documents.request(session, request),
             EntryOrder::DocumentPart(part) => self.take_part(session, part),
@@ -47,31 +47,31 @@
         }
     }
 
-    /// An entry has received all reports up to this number.
-    fn take_heard(&mut self, now: Moment, key: &OwnerKey, heard: u64) {
+    /// Records that an entry has received all reports up to the given number.
+    fn record_received(&mut self, now: Moment, key: &OwnerKey, last_received: u64) {
         let owner = self.owners.get_mut(key);
-        if let Some(sent) = owner.and_then(|owner| owner.note_heard(heard)) {
-            self.confirm_times.note(now.since(sent));
+        if let Some(sent) = owner.and_then(|owner| owner.record_received(last_received)) {
+            self.confirm_times.record(now.since(sent));
         }
     }
 
     fn start(&mut self, now: Moment, key: &OwnerKey, start: StartOrder) {
-        self.take_heard(now, key, start.last_received);
+        self.record_received(now, key, start.last_received);
         let Some(owner) = self.owners.get_mut(key) else {
             return;
         };
         owner.starts += 1;
-        match self.judge_start(now, key, &start) {
-            StartVerdict::Now => {
+        match self.decide_start(now, key, &start) {
+            StartDecision::Now => {
                 self.use_offer(key, &start.required_capacity);
                 self.order_run(now, key, start);
             }
-            StartVerdict::Wait { until } => self.queue_start(now, key, start, until),
-            StartVerdict::Away(cause) => self.turn_away(key, start.run, cause),
+            StartDecision::Wait { until } => self.queue_start(now, key, start, until),
+            StartDecision::Refuse(cause) => self.refuse_start(key, start.run, cause),
         }
     }
 
-    /// Tells the target to start a run.
+    /// Orders the target to start a run.
     pub(super) fn order_run(&mut self, now: Moment, key: &OwnerKey, start: StartOrder) {
         let millis = |ms: Option<u32>| ms.map(u64::from).map(Duration::from_millis);
         let run = Run {
@@ -83,52 +83,54 @@
         let charged = self.charge_start(key, &start.required_capacity, start.estimate_ms);
         self.runs.insert(start.run, Run { charged, ..run });
         let hold_until_ms = self.hold_until(now);
-        self.link.note_hold(hold_until_ms);
+        self.link.record_hold(hold_until_ms);
         self.effects.push(AgentEffect::Order {
             run: start.run,
             payload: start.payload,
             hold_until_ms,
             token: self.link.order_token(),
             target: self.target_id(),
-            timeout: self.answers.limit(),
+            timeout: self.answer_times.timeout(),
         });
     }
 
-    /// The entry orders no starts until it wakes the link; what it has forgotten here is stopped.
-    fn stand_by(&mut self, now: Moment, key: &OwnerKey) {
+    /// Puts an entry on standby. It orders no starts until it activates the link, and its runs here
+    /// are stopped.
+    fn set_standby(&mut self, now: Moment, key: &OwnerKey) {
         for run in self.runs.of_owner(key) {
             self.stop_run(now, run, EndOfRun::Stopped);
         }
         self.drop_queued_of(key);
         if let Some(owner) = self.owners.get_mut(key) {
-            owner.stand_by();
+            owner.set_standby();
         }
     }
 
-    fn wake(&mut self, key: &OwnerKey) {
+    fn activate(&mut self, key: &OwnerKey) {
         if let Some(owner) = self.owners.get_mut(key) {
-            owner.wake();
+            owner.activate();
         }
     }
 
-    /// What becomes of a start that has just come.
-    fn judge_start(&self, now: Moment, key: &OwnerKey, start: &StartOrder) -> StartVerdict {
-        if let Some(cause) = self.fault_against(now, key) {
-            return StartVerdict::Away(cause);
+    /// Decides what happens with a start that has just arrived.
+    fn decide_start(&self, now: Moment, key: &OwnerKey, start: &StartOrder) -> StartDecision {
+        if let Some(cause) = self.refusal_cause(now, key) {
+            return StartDecision::Refuse(cause);
         }
         if self.is_run_known(&start.run) {
-            return StartVerdict::Away(NotRunCause::NoRoom);
+            return StartDecision::Refuse(NotRunCause::NoRoom);
         }
         match self.admit(now, key, start) {
-            StartVerdict::Now if self.holds_other_suspect(now, start) => {
-                StartVerdict::Away(NotRunCause::OtherSuspect)
+            StartDecision::Now if self.has_other_suspect(now, start) => {
+                StartDecision::Refuse(NotRunCause::OtherSuspect)
             }
             admission => admission,
         }
     }
 
-    /// Why no start of an entry can be done now, whatever it takes.
-    pub(super) fn fault_against(&self, now: Moment, key: &OwnerKey) -> Option<NotRunCause> {
+    /// Returns the reason for which no start of an entry can be carried out now, whatever capacity
+    /// the start needs.
+    pub(super) fn refusal_cause(&self, now: Moment, key: &OwnerKey) -> Option<NotRunCause> {
         if self.is_stopping || self.link.is_draining || self.is_hall_drained() {
             return Some(NotRunCause::Draining);
         }
@@ -145,24 +147,27 @@
         is_paused.then_some(NotRunCause::NoRoom)
     }
 
-    /// Whether a run is on trial here beside which this start would make a crash unclear.
-    pub(super) fn holds_other_suspect(&self, now: Moment, start: &StartOrder) -> bool {
-        self.holds_like_suspect(now, start) || self.holds_other_trial(now, start)
+    /// Returns whether a run is in an isolation trial here whose result this start would make
+    /// ambiguous.
+    pub(super) fn has_other_suspect(&self, now: Moment, start: &StartOrder) -> bool {
+        self.has_similar_suspect(now, start) || self.has_other_trial(now, start)
     }
 
-    /// Whether a run of any entry is on trial that may have crashed the same target: they are kept apart, so
-    /// that the next crash tells which of them did it.
-    fn holds_like_suspect(&self, now: Moment, start: &StartOrder) -> bool {
+    /// Returns whether a run of any entry is in an isolation trial here that may have crashed the
+    /// same target as this start. Such tasks are kept apart, so that the next crash shows which of
+    /// them caused it.
+    fn has_similar_suspect(&self, now: Moment, start: &StartOrder) -> bool {
         let Some(ran_ms) = start.crashed_after_ms else {
             return false;
         };
         let ran = Duration::from_millis(u64::from(ran_ms));
         let mut runs = self.runs.iter();
-        runs.any(|(_, run)| run.is_like_suspect(now, ran))
+        runs.any(|(_, run)| run.is_similar_suspect(now, ran))
     }
 
-    /// Whether another job of a contained kind is on trial: if its tasks crash the target, none but that job pays for it.
-    fn holds_other_trial(&self, now: Moment, start: &StartOrder) -> bool {
+    /// Returns whether another job of a contained kind is in an isolation trial here. Jobs of the
+    /// kind are kept apart, so that a crash affects only the job that caused it.
+    fn has_other_trial(&self, now: Moment, start: &StartOrder) -> bool {
         if start.kind_crashed_after_ms.is_none() {
             return false;
         }
@@ -171,8 +176,8 @@
         others.any(|(_, run)| run.is_on_kind_trial(now))
     }
 
-    pub(super) fn turn_away(&mut self, key: &OwnerKey, run: RunId, cause: NotRunCause) {
-        self.decided(AgentDecision::TurnedAway {
+    pub(super) fn refuse_start(&mut self, key: &OwnerKey, run: RunId, cause: NotRunCause) {
+        self.record_decision(AgentDecision::TurnedAway {
             run,
             cause,
             free_cpu_millis: self.free_capacity().cpu_millis,
@@ -210,7 +215,7 @@
             acknowledged: None,
         };
         let percent = run.percent;
-        self.decided(AgentDecision::Stopping {
+        self.record_decision(AgentDecision::Stopping {
             run: id,
             end,
             percent,
@@ -220,11 +225,11 @@
 
     pub(super) fn send_stop(&mut self, run: RunId) {
         let token = self.link.order_token();
-        let limit = self.answers.limit();
+        let timeout = self.answer_times.timeout();
         self.effects.push(AgentEffect::StopRun {
             run,
             token,
-            timeout: limit,
+            timeout,
         });
     }
 
--- a/crates/mastknot_core/src/agent/owners.rs
+++ b/crates/mastknot_core/src/agent/owners.rs
@@ -2,81 +2,93 @@
 use std::time::Duration;
 
 use super::SessionId;
-use super::offers::RoomOffer;
+use super::offers::CapacityOffer;
 use crate::job::{Capacity, EndedRun, LeaseTerms, TargetCondition, TargetProfile, WaitingNeed};
 use crate::types::{Hall, Incarnation, Moment, NodeName};
 
-/// One life of an entry.
+/// Incarnation of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct OwnerKey {
     pub(crate) entry: NodeName,
     pub(crate) incarnation: Incarnation,
 }
 
-/// Whether an entry may start runs here.
+/// Permission of an entry to start runs on this side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Duty {
-    /// It may; its lease counts.
+    /// The entry may start runs, and its lease is in force.
     Active,
-    /// It may not, and nothing of it runs here: no lease counts.
+    /// The entry may not start runs and has none here, so that no lease is in force.
     Standby,
-    /// It may as soon as it has confirmed the report with this number, from which its lease counts.
-    Waking {
-        /// The report.
+    /// The entry may start runs as soon as it has confirmed the report with this number. Its lease
+    /// begins with this report.
+    Activating {
+        /// Number of the report.
         report: u64,
     },
 }
 
-/// What an entry was last told.
+/// State that was last reported to an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Told {
+pub(crate) struct ReportedState {
+    /// Capacity that was reported as usable.
     pub(crate) free: Capacity,
     pub(crate) condition: TargetCondition,
     pub(crate) is_cold: bool,
     pub(crate) target: Option<TargetProfile>,
-    /// Whether it was told that something waits here.
+    /// Whether the report said that tasks wait at this side.
     pub(crate) has_waiting: bool,
 }
 
-/// The most report numbers that are kept to time a lease.
+/// Maximum number of sent reports that are remembered to determine the start of a lease.
 const MAX_SENT: usize = 512;
 
-/// An entry that may run tasks here, and its lease.
+/// Entry that may start runs on this side, with its lease.
 #[derive(Clone, Debug)]
 pub(crate) struct Owner {
+    /// Current link of the entry.
     pub(crate) session: Option<SessionId>,
-    /// Its callers' hall.
+    /// Hall of the entry's callers.
     pub(crate) hall: Hall,
-    /// Whether it has told that halls share room that is short.
-    pub(crate) shares_room: bool,
+    /// Whether the entry has reported that halls share scarce capacity.
+    pub(crate) shares_capacity: bool,
+    /// Permission to start runs.
     pub(crate) duty: Duty,
-    /// Whether the runs of an earlier link have been settled on this one.
+    /// Whether the runs of an earlier link have been settled on the current link.
     pub(crate) is_resumed: bool,
-    /// The first report after the runs were settled, and whether the entry is known to have received it.
+    /// Number of the first report after the runs were settled.
     first_after_resume: u64,
     has_read_resume: bool,
-    /// When the newest report was sent that the entry is known to have received.
+    /// Time at which the newest report was sent that the entry is known to have received.
     pub(crate) lease_from: Moment,
+    /// Number of starts received on the current link.
     pub(crate) starts: u64,
-    /// What waits for room at the entry.
+    /// Capacity that waiting tasks of the entry need.
     pub(crate) need: Option<WaitingNeed>,
-    /// Whether it has queues that compete by priority: room that is short is granted.
-    pub(crate) grants_room: bool,
-    /// Room that is kept for it.
-    pub(crate) offer: Option<RoomOffer>,
-    /// How much it has been offered of what it needed; the lowest is next.
+    /// Whether the entry has queues that compete by priority, so that scarce capacity is granted.
+    pub(crate) grants_capacity: bool,
+    /// Capacity that is reserved for the entry.
+    pub(crate) offer: Option<CapacityOffer>,
+    /// Sum of the offers to the entry in proportion to its needs. The lowest is served first.
     pub(crate) turn: u64,
+    /// Time until which the entry gets no offer, because it left one unused.
     pub(crate) declined_until: Moment,
-    /// When it last got room that nobody was known to need, counted in such grants.
+    /// Number of the last grant that the entry got without a known need, counted over all such
+    /// grants of the side.
     pub(crate) standing_turn: u64,
+    /// Ended runs that the next report contains.
     pub(crate) ended: Vec<EndedRun>,
-    pub(crate) told: Told,
+    /// State that was last reported to the entry.
+    pub(crate) reported: ReportedState,
+    /// Time of the last report.
     pub(crate) last_sent: Moment,
-    /// The revision of the drained halls that the entry is known to have heard of.
-    pub(crate) told_drained: u64,
-    /// The version of the configuration that the entry was told of.
-    told_version: u64,
+    /// Revision of the drained halls that the entry is known to have received.
+    pub(crate) drained_revision: u64,
+    /// Version of the configuration that was reported to the entry.
+    reported_version: u64,
+    /// Number of the next report.
     next_number: u64,
+    /// Sent reports that the entry has not confirmed yet.
     sent: VecDeque<SentReport>,
 }
 
@@ -91,7 +103,7 @@
         Self {
             session: None,
             hall: Hall::from(""),
-            shares_room: false,
+            shares_capacity: false,
             duty: Duty::Active,
             is_resumed: false,
             first_after_resume: 0,
@@ -99,22 +111,22 @@
             lease_from,
             starts: 0,
             need: None,
-            grants_room: false,
+            grants_capacity: false,
             offer: None,
             turn: 0,
             declined_until: Moment::default(),
             standing_turn: 0,
             ended: Vec::new(),
-            told: Told::default(),
+            reported: ReportedState::default(),
             last_sent: Moment::default(),
-            told_drained: 0,
-            told_version: 0,
+            drained_revision: 0,
+            reported_version: 0,
             next_number: 1,
             sent: VecDeque::new(),
         }
     }
 
-    /// The number of the report that is sent now.
+    /// Assigns the number of a report that is sent at `now`.
     pub(crate) fn number_report(&mut self, now: Moment) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -126,18 +138,18 @@
         number
     }
 
-    /// The entry has received all reports up to this number; returns when the newest of them was
-    /// sent, if it is news.
-    pub(crate) fn note_heard(&mut self, heard: u64) -> Option<Moment> {
-        if let Duty::Waking { report } = self.duty
-            && heard >= report
+    /// Records that the entry has received all reports up to the given number. Returns the time at
+    /// which the newest of them was sent, if it had not been confirmed before.
+    pub(crate) fn record_received(&mut self, last_received: u64) -> Option<Moment> {
+        if let Duty::Activating { report } = self.duty
+            && last_received >= report
         {
             self.duty = Duty::Active;
         }
-        self.has_read_resume |= self.is_resumed && heard >= self.first_after_resume;
+        self.has_read_resume |= self.is_resumed && last_received >= self.first_after_resume;
         let mut newest = None;
         while let Some(oldest) = self.sent.front().copied() {
-            if oldest.number > heard {
+            if oldest.number > last_received {
                 break;
             }
             self.lease_from = self.lease_from.max(oldest.at);
@@ -147,76 +159,81 @@
         newest
     }
 
-    /// The runs of an earlier link are settled: the entry is told which go on.
-    pub(crate) fn note_resumed(&mut self) {
+    /// Records that the runs of an earlier link are settled and the entry is told which runs
+    /// continue.
+    pub(crate) fn record_resumed(&mut self) {
         self.is_resumed = true;
         self.first_after_resume = self.next_number;
     }
 
-    /// Whether the entry is known to have read which runs go on.
+    /// Returns whether the entry is known to have read which runs continue.
     pub(crate) fn has_read_resume(&self) -> bool {
         self.has_read_resume
     }
 
-    /// Whether room is kept for it of which it has not been told.
-    pub(crate) fn is_granted_anew(&self) -> bool {
+    /// Returns whether capacity is reserved for the entry that has not been reported to it yet.
+    pub(crate) fn has_unreported_offer(&self) -> bool {
         self.offer.is_some_and(|offer| offer.number == 0)
     }
 
-    /// Nothing of the entry runs here until it wakes the link.
-    pub(crate) fn stand_by(&mut self) {
+    /// Puts the entry on standby until it activates the link.
+    pub(crate) fn set_standby(&mut self) {
         self.duty = Duty::Standby;
         self.need = None;
         self.offer = None;
     }
 
-    /// The entry wants to start runs here again; it is told at once how the target stands.
-    pub(crate) fn wake(&mut self) {
+    /// Activates the link of an entry that wants to start runs here again. The state of the target
+    /// is reported to it at once.
+    pub(crate) fn activate(&mut self) {
         if self.duty == Duty::Standby {
-            self.duty = Duty::Waking {
+            self.duty = Duty::Activating {
                 report: self.next_number,
             };
-            self.told = Told::default();
+            self.reported = ReportedState::default();
             self.last_sent = Moment::default();
         }
     }
 
-    /// After this long without a confirmed report the entry counts as gone.
+    /// Returns the time without a confirmed report after which the entry counts as gone.
     pub(crate) fn lease_limit(&self, terms: &LeaseTerms) -> Duration {
         match self.duty {
             Duty::Active => terms.entry_lease,
-            Duty::Standby | Duty::Waking { .. } => terms.standby_silence,
+            Duty::Standby | Duty::Activating { .. } => terms.standby_silence,
         }
     }
 
-    /// Whether the entry was told of this version of the configuration.
+    /// Returns whether the given version of the configuration was the last one reported to the
+    /// entry.
     pub(crate) fn knows_version(&self, version: u64) -> bool {
-        self.told_version == version
+        self.reported_version == version
     }
 
-    /// The version to tell of, unless the entry knows it.
-    pub(crate) fn news_of_version(&mut self, version: u64) -> Option<u64> {
-        let told = std::mem::replace(&mut self.told_version, version);
-        (told != version).then_some(version)
+    /// Returns the version of the configuration to report, or `None` if it was reported before.
+    /// Records it as reported.
+    pub(crate) fn version_to_report(&mut self, version: u64) -> Option<u64> {
+        let reported = std::mem::replace(&mut self.reported_version, version);
+        (reported != version).then_some(version)
     }
 
-    /// Takes a new link of the same life of the entry, on which it has received the greeting that was sent
-    /// at `greeted`. A link that was on standby has an older lease, under which the new one would end at once.
+    /// Attaches a new link of the same incarnation of the entry, whose hello was sent at `hello_sent`
+    /// and received by the entry.
     ///
-    /// Runs that go on keep theirs: the entry counts on them from the reports that it has received, and a greeting is
-    /// none.
-    pub(crate) fn take_session(&mut self, session: SessionId, greeted: Moment, has_runs: bool) {
+    /// Without runs the lease begins at `hello_sent`, because the lease of a link that was on standby
+    /// is older and would end at once. With runs the lease is kept: the entry relies on these runs
+    /// since the reports that it has received, and a hello is not a report.
+    pub(crate) fn take_session(&mut self, session: SessionId, hello_sent: Moment, has_runs: bool) {
         self.session = Some(session);
         if !has_runs {
-            self.lease_from = self.lease_from.max(greeted);
+            self.lease_from = self.lease_from.max(hello_sent);
         }
         self.duty = Duty::Active;
-        self.told_drained = 0;
-        self.told_version = 0;
+        self.drained_revision = 0;
+        self.reported_version = 0;
         self.is_resumed = false;
         self.has_read_resume = false;
         self.starts = 0;
-        self.told = Told::default();
+        self.reported = ReportedState::default();
         self.need = None;
         self.offer = None;
         self.sent.clear();
--- a/crates/mastknot_core/src/agent/run_views.rs
+++ b/crates/mastknot_core/src/agent/probe_results.rs
@@ -1,37 +1,37 @@
-//! What a look shows of runs: those that go on, those that have ended, those that are missing.
+//! Evaluation of probes: runs that continue, runs that have ended, and runs that are missing.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::target_agent::{LookInFlight, TargetAgent};
-use super::target_pace::SHORTEST_STRETCH;
+use super::target_agent::{ProbeInFlight, TargetAgent};
+use super::target_slowdown::MIN_SAMPLE_TIME;
 use super::{AgentDecision, FinishReason, RunPhase, TargetFinished, TargetRunning, TargetView};
 use crate::job::{EndOfRun, EndedRun, NotRunCause, RunId};
 use crate::types::Moment;
 
-/// A run that the target misses in so many looks in a row is over.
+/// Number of probes in a row that must miss a run before it counts as lost.
 const LOST_AFTER: u32 = 2;
-/// Progress is judged only if the target was heard within this time.
-const FRESH_LOOK: Duration = Duration::from_millis(250);
-/// The most ends that wait for entries to say who they are.
+/// Time since the last answer of the target within which progress may be judged.
+const FRESH_ANSWER: Duration = Duration::from_millis(250);
+/// Maximum number of ends that are kept for entries that have not identified themselves yet.
 const MAX_ORPHANED_ENDS: usize = 2_000;
 
 impl TargetAgent {
-    pub(super) fn viewed(&mut self, now: Moment, look: LookInFlight, view: TargetView) {
-        if self.is_other_birth(view.started_at_ms) && self.is_life_known() {
-            self.reborn(now, look, &view);
+    pub(super) fn probe_answered(&mut self, now: Moment, probe: ProbeInFlight, view: TargetView) {
+        if self.is_other_start_time(view.started_at_ms) && self.is_incarnation_known() {
+            self.target_restarted(now, probe, &view);
             return;
         }
-        if self.is_other_birth(view.started_at_ms) {
+        if self.is_other_start_time(view.started_at_ms) {
             self.forget_profile(now);
         }
-        let sent = look.sent;
+        let sent = probe.sent;
         self.link.read_clock(now, view.clock_ms);
-        self.link.viewed = sent;
-        self.note_birth(view.started_at_ms);
-        self.link.is_confirmed |= look.is_named || view.started_at_ms != 0;
-        if let Some(target) = self.lives.known_answered(sent) {
-            self.decided(AgentDecision::LateReport { target });
+        self.link.answered_probe_sent = sent;
+        self.record_start_time(view.started_at_ms);
+        self.link.is_confirmed |= probe.is_named || view.started_at_ms != 0;
+        if let Some(target) = self.incarnations.known_answered(sent) {
+            self.record_decision(AgentDecision::LateReport { target });
         }
         if self.link.token.is_none() {
             self.take_token(now, view.clock_ms);
@@ -43,22 +43,23 @@
             self.link.is_settled = true;
             let token = self.link.token.unwrap_or_default();
             let survivors = self.survivors.len();
-            self.decided(AgentDecision::TokenTaken { token, survivors });
+            self.record_decision(AgentDecision::TokenTaken { token, survivors });
         }
     }
 
-    /// Takes the target's clock as the fencing token: it rises over restarts of this process.
+    /// Takes the target's clock as the fencing token, which therefore rises over restarts of this
+    /// process.
     pub(super) fn take_token(&mut self, now: Moment, clock_ms: u64) {
         self.link.read_clock(now, clock_ms);
         self.link.raise_token(clock_ms);
-        self.look_not_before = now;
+        self.probe_not_before = now;
     }
 
-    /// Takes a token that passes the fence which refused `refused`.
+    /// Takes a token that is high enough for the fence that refused `refused`.
     pub(super) fn pass_fence(&mut self, now: Moment, refused: u64, clock_ms: u64) {
         self.link.read_clock(now, clock_ms);
         self.link.pass_fence(refused, clock_ms);
-        self.look_not_before = now;
+        self.probe_not_before = now;
     }
 
     fn take_ends(&mut self, now: Moment, finished: Vec<TargetFinished>) {
@@ -129,10 +130,11 @@
         }
     }
 
-    /// Stops a run that nobody here knows; it is sent again with each look that lists it.
+    /// Stops a run that no entry owns here. The order is repeated with each probe that lists the
+    /// run.
     fn stop_unclaimed(&mut self, run: RunId, percent: u8) {
         if self.unclaimed.insert(run) {
-            self.decided(AgentDecision::Unclaimed { run, percent });
+            self.record_decision(AgentDecision::Unclaimed { run, percent });
         }
         self.send_stop(run);
     }
@@ -142,29 +144,29 @@
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        run.missed = 0;
+        run.missed_probes = 0;
         if matches!(run.phase, RunPhase::Ordered | RunPhase::Unconfirmed { .. }) {
             run.phase = RunPhase::Running;
         }
-        let stretch = now.since(run.paced);
-        if run.phase == RunPhase::Running && stretch >= SHORTEST_STRETCH {
-            let done = percent.saturating_sub(run.paced_percent);
-            self.pace.note(stretch, done, run.estimate());
-            run.paced_percent = percent;
-            run.paced = now;
+        let stretch = now.since(run.sampled_at);
+        if run.phase == RunPhase::Running && stretch >= MIN_SAMPLE_TIME {
+            let done = percent.saturating_sub(run.sampled_percent);
+            self.slowdown.record(stretch, done, run.estimate());
+            run.sampled_percent = percent;
+            run.sampled_at = now;
         }
         if percent != run.percent {
             run.percent = percent;
-            run.progressed = now;
+            run.progressed_at = now;
             return;
         }
-        let is_stalled = run.phase == RunPhase::Running && now.since(run.progressed) > limit;
-        if is_stalled && now.since(self.link.heard) < FRESH_LOOK {
+        let is_stalled = run.phase == RunPhase::Running && now.since(run.progressed_at) > limit;
+        if is_stalled && now.since(self.link.last_answer) < FRESH_ANSWER {
             self.stop_run(now, id, EndOfRun::Stalled);
         }
     }
 
-    /// A run that a look did not list.
+    /// Handles a run that a probe did not list.
     fn run_missing(&mut self, now: Moment, sent: Moment, id: RunId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -176,9 +178,9 @@
                 self.stop_run(now, id, end);
             }
             RunPhase::Unconfirmed { .. } => {}
-            RunPhase::Running if sent > run.progressed => {
-                run.missed += 1;
-                if run.missed >= LOST_AFTER {
+            RunPhase::Running if sent > run.progressed_at => {
+                run.missed_probes += 1;
+                if run.missed_probes >= LOST_AFTER {
                     self.end_run(now, id, EndOfRun::Lost);
                 }
             }
--- a/crates/mastknot_core/src/agent/queued_starts.rs
+++ b/crates/mastknot_core/src/agent/queued_starts.rs
@@ -2,22 +2,22 @@
 use crate::job::{Capacity, RunId, StartOrder};
 use crate::types::Moment;
 
-/// A start that waits at the side for room that is expected soon.
+/// Start that waits at the side for capacity that is expected soon.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedStart {
-    /// Whose it is.
+    /// Entry that ordered the start.
     pub(super) owner: OwnerKey,
-    /// What was ordered.
+    /// Order as the entry sent it.
     pub(super) order: StartOrder,
-    /// When it came.
+    /// Time at which the order arrived.
     pub(super) since: Moment,
-    /// Until when it may wait.
+    /// Time until which the start may wait.
     pub(super) until: Moment,
 }
 
-/// Starts that wait at a side for room: the most urgent first, then in the order of arrival.
+/// Starts that wait at a side for capacity, by urgency and then by arrival.
 ///
-/// None of them is known to the target, so each can be taken back at once.
+/// The target knows none of them, so each can be withdrawn immediately.
 #[derive(Clone, Debug, Default)]
 pub(super) struct QueuedStarts {
     starts: Vec<QueuedStart>,
@@ -33,38 +33,38 @@
         self.starts.insert(place, start);
     }
 
-    /// The room that all of them take together.
-    pub(super) fn room(&self) -> Capacity {
-        let rooms = self
+    /// Returns the capacity that all queued starts take together.
+    pub(super) fn capacity(&self) -> Capacity {
+        let capacities = self
             .starts
             .iter()
             .map(|start| &start.order.required_capacity);
-        rooms.fold(Capacity::default(), |sum, room| sum.with(room))
+        capacities.fold(Capacity::default(), |sum, capacity| sum.with(capacity))
     }
 
-    /// Whether none waits.
+    /// Returns whether no start is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.starts.is_empty()
     }
 
-    /// Whether a run waits here.
+    /// Returns whether the start of a run is queued.
     pub(super) fn contains(&self, run: &RunId) -> bool {
         self.starts.iter().any(|start| start.order.run == *run)
     }
 
-    /// Whether the entry has starts here.
+    /// Returns whether the entry has queued starts.
     pub(super) fn has_any_of(&self, owner: &OwnerKey) -> bool {
         self.starts.iter().any(|start| start.owner == *owner)
     }
 
-    /// Takes the first one out if it fits into this room.
+    /// Removes and returns the first start if it fits into the given capacity.
     pub(super) fn take_first(&mut self, free: &Capacity) -> Option<QueuedStart> {
         let first = self.starts.first()?;
         free.covers(&first.order.required_capacity)
             .then(|| self.starts.remove(0))
     }
 
-    /// Takes those out for which this holds.
+    /// Removes and returns all starts for which the predicate holds.
     pub(super) fn take_if(&mut self, is_taken: impl Fn(&QueuedStart) -> bool) -> Vec<QueuedStart> {
         let starts = std::mem::take(&mut self.starts);
         let (taken, kept) = starts.into_iter().partition(is_taken);
@@ -72,7 +72,7 @@
         taken
     }
 
-    /// When the first of them has waited for as long as it may.
+    /// Returns the earliest time until which a queued start may wait.
     pub(super) fn due(&self) -> Option<Moment> {
         self.starts.iter().map(|start| start.until).min()
     }
--- a/crates/mastknot_core/src/agent/reporting.rs
+++ b/crates/mastknot_core/src/agent/reporting.rs
@@ -1,20 +1,21 @@
-//! When entries are told how the target stands.
+//! Reports of the target's state to entries.
 
 use std::sync::Arc;
 
-use super::offers::SharedRoom;
-use super::owners::{Duty, Owner, OwnerKey, Told};
+use super::offers::SharedCapacity;
+use super::owners::{Duty, Owner, OwnerKey, ReportedState};
 use super::target_agent::TargetAgent;
 use crate::job::{Capacity, SideReport, SideStatus};
 use crate::types::Moment;
 
-/// A change of the room by this share of the target, in thousandths, is news.
+/// Change of capacity, in thousandths of the target, from which it is reported before the next
+/// heartbeat.
 const NOTABLE_PERMILLE: u32 = 200;
 
 impl TargetAgent {
     pub(super) fn report_all(&mut self, now: Moment) {
         self.resume_links(now);
-        let shared = self.shared_room();
+        let shared = self.shared_capacity();
         let due = self.owners.iter().filter(|(_, owner)| {
             let due = self.report_due(owner, &shared);
             due.is_some_and(|due| now >= due)
@@ -25,27 +26,28 @@
         }
     }
 
-    /// When an entry is told next; at once if runs of it have ended.
-    pub(super) fn report_due(&self, owner: &Owner, shared: &SharedRoom) -> Option<Moment> {
+    /// Returns the time of the next report to an entry. A report is due immediately if runs of the
+    /// entry have ended.
+    pub(super) fn report_due(&self, owner: &Owner, shared: &SharedCapacity) -> Option<Moment> {
         owner.session?;
         if !owner.ended.is_empty() {
             return Some(owner.last_sent);
         }
         if owner.duty == Duty::Standby {
-            // An entry that is cut off from the store learns versions from sides only, and it wakes only links to
-            // targets that take work.
+            // An entry that is partitioned from the store learns versions only from sides, and an
+            // entry activates only links to targets that take work.
             let is_usable = self.condition.takes_work();
-            let is_news = !owner.knows_version(self.config_version())
-                || owner.told_drained < self.drained.revision
-                || owner.told.condition.takes_work() != is_usable;
-            let delay = match is_news {
+            let has_update = !owner.knows_version(self.config_version())
+                || owner.drained_revision < self.drained.revision
+                || owner.reported.condition.takes_work() != is_usable;
+            let delay = match has_update {
                 true => self.settings.idle_report_delay,
                 false => self.settings.terms.standby_heartbeat,
             };
             return Some(owner.last_sent + delay);
         }
-        let is_eager = owner.need.is_some() || (owner.is_granted_anew() && self.is_granting());
-        let delay = match (self.is_news(owner, shared), is_eager) {
+        let is_eager = owner.need.is_some() || (owner.has_unreported_offer() && self.is_granting());
+        let delay = match (self.has_update(owner, shared), is_eager) {
             (true, true) => self.settings.eager_report_delay,
             (true, false) => self.settings.idle_report_delay,
             (false, _) => self.settings.terms.heartbeat,
@@ -53,23 +55,23 @@
         Some(owner.last_sent + delay)
     }
 
-    fn is_news(&self, owner: &Owner, shared: &SharedRoom) -> bool {
-        owner.is_granted_anew()
-            || owner.told_drained < self.drained.revision
-            || self.is_notable(&owner.told.free, &self.shown_to(owner, shared))
-            || owner.told.condition != self.condition
-            || owner.told.is_cold != self.is_cold
-            || owner.told.target != self.link.profile
+    fn has_update(&self, owner: &Owner, shared: &SharedCapacity) -> bool {
+        owner.has_unreported_offer()
+            || owner.drained_revision < self.drained.revision
+            || self.is_notable(&owner.reported.free, &self.shown_to(owner, shared))
+            || owner.reported.condition != self.condition
+            || owner.reported.is_cold != self.is_cold
+            || owner.reported.target != self.link.profile
     }
 
-    /// Whether a change of the room is worth a report before the next heartbeat.
-    fn is_notable(&self, told: &Capacity, shown: &Capacity) -> bool {
-        let difference = told.without(shown).with(&shown.without(told));
-        let has_appeared = (*told == Capacity::default()) != (*shown == Capacity::default());
+    /// Returns whether a change of capacity is reported before the next heartbeat.
+    fn is_notable(&self, reported: &Capacity, shown: &Capacity) -> bool {
+        let difference = reported.without(shown).with(&shown.without(reported));
+        let has_appeared = (*reported == Capacity::default()) != (*shown == Capacity::default());
         has_appeared || difference.max_permille_of(&self.capacity()) >= NOTABLE_PERMILLE
     }
 
-    fn report(&mut self, now: Moment, key: &OwnerKey, shared: &SharedRoom) {
+    fn report(&mut self, now: Moment, key: &OwnerKey, shared: &SharedCapacity) {
         let known = self.owners.get(key);
         let free = known.map(|owner| self.shown_to(owner, shared));
         let free = free.unwrap_or_default();
@@ -80,12 +82,12 @@
         let target = self.link.profile.clone();
         let condition = self.condition;
         let is_cold = self.is_cold;
-        let pace_percent = self.pace.percent();
+        let slowdown_percent = self.slowdown.percent();
         let config_version = self.config_version();
         let drained = Arc::clone(&self.drained);
         let grant = known.and_then(|owner| self.grant_of(now, owner));
         let kept_until = self.grant_kept_until(now, known.and_then(|owner| owner.offer));
-        let load = known.and_then(|owner| self.load_to_tell(now, owner));
+        let load = known.and_then(|owner| self.load_to_report(now, owner));
         let has_waiting = load.as_ref().is_some_and(|load| !load.waiting.is_empty());
         let Some(owner) = self.owners.get_mut(key) else {
             return;
@@ -94,16 +96,16 @@
             return;
         };
         let is_standby = owner.duty == Duty::Standby;
-        let news_of_target = target.clone().filter(|_| owner.told.target != target);
-        owner.told = Told {
+        let target_update = target.clone().filter(|_| owner.reported.target != target);
+        owner.reported = ReportedState {
             free,
             condition,
             is_cold,
             target,
             has_waiting,
         };
-        let is_known = owner.told_drained >= drained.revision;
-        owner.told_drained = drained.revision.max(owner.told_drained);
+        let is_known = owner.drained_revision >= drained.revision;
+        owner.drained_revision = drained.revision.max(owner.drained_revision);
         let number = owner.number_report(now);
         if let Some(offer) = owner.offer.as_mut().filter(|offer| offer.number == 0) {
             offer.number = number;
@@ -120,16 +122,16 @@
             condition,
             is_standby,
             is_cold,
-            slowdown_percent: pace_percent,
-            target: news_of_target,
+            slowdown_percent,
+            target: target_update,
             ended: std::mem::take(&mut owner.ended),
-            config_version: owner.news_of_version(config_version),
+            config_version: owner.version_to_report(config_version),
             drained: (!is_known).then_some(drained),
         };
         self.send(session, SideReport::Status(status));
     }
 
-    /// What the target has in all.
+    /// Returns the total capacity of the target.
     pub fn capacity(&self) -> Capacity {
         let profile = self.link.profile.as_ref();
         profile.map(|profile| profile.capacity).unwrap_or_default()
--- a/crates/mastknot_core/src/agent/run_table.rs
+++ b/crates/mastknot_core/src/agent/run_table.rs
@@ -6,118 +6,120 @@
 use crate::job::{Capacity, EndOfRun, RunId, TaskKind, are_similar_run_times, trial_time};
 use crate::types::Moment;
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPhase {
-    /// The target was told to start it.
+    /// The start was ordered and not answered yet.
     Ordered,
-    /// The order got no answer.
+    /// The order to start got no answer.
     Unconfirmed {
-        /// When that was found.
+        /// Time at which the order was found to be unanswered.
         since: Moment,
     },
-    /// It is known to run.
+    /// The target is known to have started the run.
     Running,
-    /// The target was told to stop it.
+    /// The target was ordered to stop the run.
     Stopping {
-        /// What its end is called unless the target says otherwise.
+        /// End that is reported unless the target reports another one.
         end: EndOfRun,
-        /// When the first order to stop was sent.
+        /// Time at which the first order to stop was sent.
         first: Moment,
-        /// When the last order to stop was sent.
+        /// Time at which the last order to stop was sent.
         sent: Moment,
-        /// How often it was sent.
+        /// Number of orders to stop that were sent.
         times: u32,
-        /// When the target acknowledged one.
+        /// Time at which the target acknowledged an order to stop.
         acknowledged: Option<Moment>,
     },
 }
 
-/// A run that takes room at the target.
+/// Run that takes capacity at the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The entry that ordered it.
+    /// Entry that ordered the run.
     pub(crate) owner: OwnerKey,
-    /// What it takes.
-    pub room: Capacity,
-    /// A guess of its time, in milliseconds.
+    /// Capacity that the run takes.
+    pub capacity: Capacity,
+    /// Caller's estimate of the run time, in milliseconds; 0 if the caller gave none.
     pub estimate_ms: u32,
-    /// The work that its entry's hall was charged with, in thousandths of the target times milliseconds.
+    /// Work for which the hall of the entry was charged, in thousandths of the target times
+    /// milliseconds.
     pub(crate) charged: u64,
-    /// When it was ordered.
+    /// Time at which the run was ordered or taken over.
     pub since: Moment,
-    /// Where it stands.
+    /// Current phase.
     pub phase: RunPhase,
-    /// Its progress in percent.
+    /// Progress in percent.
     pub percent: u8,
-    /// When the progress last changed.
-    pub progressed: Moment,
-    /// The progress that the target's pace already includes, in percent.
-    pub paced_percent: u8,
-    /// When that progress was seen.
-    pub paced: Moment,
-    /// What its task has in common with others that run the same program.
+    /// Time at which the progress last changed.
+    pub progressed_at: Moment,
+    /// Progress in percent that the measured slowdown of the target already includes.
+    pub sampled_percent: u8,
+    /// Time at which this progress was observed.
+    pub sampled_at: Moment,
+    /// Kind of the task, shared with other tasks that run the same program.
     pub kind: TaskKind,
-    /// After what time targets crashed under tasks of its kind, if the kind is contained.
+    /// Run time after which tasks of this kind crashed targets, if the kind is contained.
     pub kind_crashed_after: Option<Duration>,
-    /// After what time a target crashed under its task before, if one has.
+    /// Run time after which this task crashed a target before, if it did.
     pub crashed_after: Option<Duration>,
-    /// How often in a row the target did not list it although it should.
-    pub missed: u32,
+    /// Number of probes in a row in which the target should have listed the run and did not.
+    pub missed_probes: u32,
 }
 
 impl Run {
-    /// A run that is ordered or taken over now.
-    pub(crate) fn new(now: Moment, owner: OwnerKey, room: Capacity, estimate_ms: u32) -> Self {
+    /// Creates a run that is ordered or taken over at `now`.
+    pub(crate) fn new(now: Moment, owner: OwnerKey, capacity: Capacity, estimate_ms: u32) -> Self {
         Self {
             owner,
-            room,
+            capacity,
             estimate_ms,
             charged: 0,
             since: now,
             phase: RunPhase::Ordered,
             percent: 0,
-            progressed: now,
-            paced_percent: 0,
-            paced: now,
+            progressed_at: now,
+            sampled_percent: 0,
+            sampled_at: now,
             kind: TaskKind::default(),
             kind_crashed_after: None,
             crashed_after: None,
-            missed: 0,
+            missed_probes: 0,
         }
     }
 
-    /// Whether the target is known to have started it.
+    /// Returns whether the target is known to have started the run.
     pub(crate) fn has_begun(&self) -> bool {
         !matches!(self.phase, RunPhase::Ordered | RunPhase::Unconfirmed { .. })
     }
 
-    /// Whether its task and one that ran for this time may both have crashed a target, and it has not yet run long
-    /// enough to show that it did not.
-    pub(crate) fn is_like_suspect(&self, now: Moment, ran: Duration) -> bool {
+    /// Returns whether this task and one that ran for `ran` may both have caused the same crash,
+    /// while this run is still too short to show that it was not the cause.
+    pub(crate) fn is_similar_suspect(&self, now: Moment, ran: Duration) -> bool {
         self.crashed_after.is_some_and(|own| {
             now.since(self.since) <= trial_time(own) && are_similar_run_times(own, ran)
         })
     }
 
-    /// Whether it may still crash its target as others of its kind have.
+    /// Returns whether the run may still crash its target as other tasks of its kind have.
     pub(crate) fn is_on_kind_trial(&self, now: Moment) -> bool {
         self.kind_crashed_after
             .is_some_and(|ran| now.since(self.since) <= trial_time(ran))
     }
 
-    /// Whether it may have done its work after this time; not known if its caller gave no guess.
+    /// Returns whether the run may have completed its work after this time. Returns `false` if the
+    /// caller gave no estimate.
     pub(crate) fn may_have_ended_after(&self, ran: Duration) -> bool {
         self.estimate_ms > 0 && ran >= self.estimate()
     }
 
-    /// The caller's guess of its time.
+    /// Returns the caller's estimate of the run time.
     pub(crate) fn estimate(&self) -> Duration {
         Duration::from_millis(u64::from(self.estimate_ms))
     }
 }
 
-/// The runs that take room at one target.
+/// Runs that take capacity at one target.
 #[derive(Clone, Debug, Default)]
 pub struct RunTable {
     runs: IndexMap<RunId, Run>,
@@ -125,68 +127,68 @@
 }
 
 impl RunTable {
-    /// Adds a run.
+    /// Adds a run, or replaces the run with the same id.
     pub fn insert(&mut self, id: RunId, run: Run) {
-        self.used = self.used.with(&run.room);
+        self.used = self.used.with(&run.capacity);
         if let Some(before) = self.runs.insert(id, run) {
-            self.used = self.used.without(&before.room);
+            self.used = self.used.without(&before.capacity);
         }
     }
 
-    /// Takes a run out.
+    /// Removes and returns a run.
     pub fn remove(&mut self, id: &RunId) -> Option<Run> {
         let run = self.runs.swap_remove(id)?;
-        self.used = self.used.without(&run.room);
+        self.used = self.used.without(&run.capacity);
         Some(run)
     }
 
-    /// A run.
+    /// Returns the run with this id.
     pub fn get(&self, id: &RunId) -> Option<&Run> {
         self.runs.get(id)
     }
 
-    /// A run, to be changed; its room stays.
+    /// Returns the run with this id for modification. Its capacity must not change.
     pub fn get_mut(&mut self, id: &RunId) -> Option<&mut Run> {
         self.runs.get_mut(id)
     }
 
-    /// All runs.
+    /// Iterates over all runs.
     pub fn iter(&self) -> impl Iterator<Item = (&RunId, &Run)> {
         self.runs.iter()
     }
 
-    /// All runs, to be changed; their room stays.
+    /// Iterates over all runs for modification. Their capacity must not change.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&RunId, &mut Run)> {
         self.runs.iter_mut()
     }
 
-    /// The runs of one entry.
+    /// Returns the ids of all runs of one entry.
     pub(crate) fn of_owner(&self, owner: &OwnerKey) -> Vec<RunId> {
         let own = self.runs.iter().filter(|(_, run)| run.owner == *owner);
         own.map(|(id, _)| *id).collect()
     }
 
-    /// Whether an entry has any runs.
+    /// Returns whether an entry has any runs.
     pub(crate) fn has_any_of(&self, owner: &OwnerKey) -> bool {
         self.runs.values().any(|run| run.owner == *owner)
     }
 
-    /// The names of all runs.
+    /// Returns the ids of all runs.
     pub fn ids(&self) -> Vec<RunId> {
         self.runs.keys().copied().collect()
     }
 
-    /// What all runs take together.
+    /// Returns the capacity that all runs take together.
     pub fn used(&self) -> Capacity {
         self.used
     }
 
-    /// How many there are.
+    /// Returns the number of runs.
     pub fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no runs.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
--- a/crates/mastknot_core/src/agent/sharing.rs
+++ b/crates/mastknot_core/src/agent/sharing.rs
@@ -1,4 +1,4 @@
-//! Shares of halls at one target: what is charged to whom, and when it counts.
+//! Shares of halls at one target: which work is charged to which hall, and when shares apply.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,50 +9,52 @@
 use crate::job::{Capacity, EndOfRun, EntryUpdate, ShareWeights, WaitingNeed};
 use crate::types::Hall;
 
-/// The time of a task of which nothing is known, in milliseconds.
+/// Assumed time of a task without an estimate, in milliseconds.
 const UNKNOWN_TASK_MS: u64 = 100;
 
 impl TargetAgent {
-    /// An entry has told whether halls share room that is short, and by which weights; what is older changes nothing.
-    pub(super) fn learn_shares(&mut self, session: SessionId, news: &EntryUpdate) {
+    /// Takes in whether an entry lets halls share scarce capacity, and the weights of halls unless
+    /// the side knows a newer revision.
+    pub(super) fn learn_shares(&mut self, session: SessionId, update: &EntryUpdate) {
         let key = self.sessions.get(&session);
         if let Some(owner) = key.and_then(|key| self.owners.get_mut(key)) {
-            owner.shares_room = news.shares_capacity;
+            owner.shares_capacity = update.shares_capacity;
         }
-        if news.shares.is_newer_than(&self.weights) {
-            self.weights = Arc::clone(&news.shares);
-            self.decided(AgentDecision::ShareWeights {
+        if update.shares.is_newer_than(&self.weights) {
+            self.weights = Arc::clone(&update.shares);
+            self.record_decision(AgentDecision::ShareWeights {
                 revision: self.weights.revision,
                 halls: self.weights.halls.len(),
             });
         }
     }
 
-    /// Whether room that is short goes by the shares of halls.
-    pub(super) fn shares_room(&self) -> bool {
+    /// Returns whether scarce capacity is divided by the shares of halls.
+    pub(super) fn shares_capacity(&self) -> bool {
         let mut linked = self.linked_owners();
-        linked.any(|owner| owner.shares_room)
+        linked.any(|owner| owner.shares_capacity)
     }
 
-    /// The places of halls among equals: their virtual times with all that their entries have been offered and have
-    /// not used yet. Empty where halls do not share.
-    pub(super) fn hall_places(&self) -> BTreeMap<&Hall, u64> {
+    /// Returns the virtual time of each waiting hall, including the work that its entries have been
+    /// offered but have not used yet. The map is empty where halls do not share.
+    pub(super) fn hall_virtual_times(&self) -> BTreeMap<&Hall, u64> {
         let mut offered = BTreeMap::new();
-        if self.shares_room() {
+        if self.shares_capacity() {
             for owner in self.owners.values().filter(|owner| is_waiting(owner)) {
                 *offered.entry(&owner.hall).or_default() += self.offered_work(owner);
             }
         }
         let shares = &self.hall_shares;
-        let places = offered.into_iter();
-        places
+        let virtual_times = offered.into_iter();
+        virtual_times
             .map(|(hall, work)| (hall, shares.virtual_time_after(hall, work, &self.weights)))
             .collect()
     }
 
-    /// Room is about to be given: what halls that do not wait now leave unused is lent.
-    pub(super) fn note_waiting_halls(&mut self) {
-        if !self.shares_room() {
+    /// Records which halls wait before capacity is given. The unused shares of halls that do not
+    /// wait are lent.
+    pub(super) fn record_waiting_halls(&mut self) {
+        if !self.shares_capacity() {
             return;
         }
         let waiting = self.owners.values().filter(|owner| is_waiting(owner));
@@ -60,29 +62,30 @@
             .record_waiting(waiting.map(|owner| &owner.hall));
     }
 
-    /// The lowest turn among the waiting entries with which an entry takes turns.
+    /// Returns the lowest turn of the waiting entries with which an entry takes turns.
     pub(super) fn lowest_turn_beside(&self, key: &OwnerKey) -> Option<u64> {
         let hall = self.owners.get(key).map(|owner| owner.hall.clone());
-        let is_shared = self.shares_room();
+        let is_shared = self.shares_capacity();
         let waiting = self.owners.values().filter(|owner| owner.need.is_some());
         let beside = waiting.filter(|owner| !is_shared || Some(&owner.hall) == hall.as_ref());
         beside.map(|owner| owner.turn).min()
     }
 
-    /// A start is charged to its entry's hall, whatever its rank and whoever the room was kept for; returns the work.
+    /// Charges a start to the hall of its entry, regardless of the rank of the start and of the
+    /// entry for which the capacity was reserved. Returns the charged work.
     pub(super) fn charge_start(
         &mut self,
         key: &OwnerKey,
-        room: &Capacity,
+        capacity: &Capacity,
         estimate_ms: u32,
     ) -> u64 {
-        if !self.shares_room() {
+        if !self.shares_capacity() {
             return 0;
         }
         let Some(hall) = self.hall_of(key) else {
             return 0;
         };
-        let work = self.work(room, u64::from(estimate_ms));
+        let work = self.work(capacity, u64::from(estimate_ms));
         let weights = Arc::clone(&self.weights);
         self.hall_shares.charge(&hall, work, &weights);
         let waiting = self.owners.values().filter(|owner| is_waiting(owner));
@@ -93,10 +96,10 @@
         work
     }
 
-    /// A run is over: its hall pays for the time that it took, in place of the guess, and nothing for one that never
-    /// ran.
+    /// Corrects the charge of a run that has ended: its hall pays for the actual run time instead
+    /// of the estimate, and nothing if the run did not start.
     pub(super) fn settle_charge(&mut self, run: &Run, end: EndOfRun, ran_ms: u32) {
-        if !self.shares_room() {
+        if !self.shares_capacity() {
             return;
         }
         let Some(hall) = self.hall_of(&run.owner) else {
@@ -106,7 +109,7 @@
             EndOfRun::NotRun(_) => 0,
             _ => ran_ms,
         };
-        let used = self.work(&run.room, u64::from(ran_ms));
+        let used = self.work(&run.capacity, u64::from(ran_ms));
         let charged = run.charged;
         let weights = Arc::clone(&self.weights);
         match used > charged {
@@ -115,17 +118,18 @@
         }
     }
 
-    /// What each hall was due and had while room was short.
+    /// Returns, for each hall, the work that it was entitled to and that it received while capacity
+    /// was scarce.
     pub fn hall_totals(&self) -> impl Iterator<Item = (&Hall, &HallTotal)> {
         self.hall_totals.halls().iter()
     }
 
-    /// How far halls are ahead of each other.
+    /// Returns the virtual times of halls.
     pub fn hall_shares(&self) -> &HallShares {
         &self.hall_shares
     }
 
-    /// The weights of halls that are in force here.
+    /// Returns the weights of halls that are in force on this side.
     pub fn share_weights(&self) -> &ShareWeights {
         &self.weights
     }
@@ -138,9 +142,9 @@
         self.work(&offer.left, expected_ms.unwrap_or(UNKNOWN_TASK_MS))
     }
 
-    /// Room times time, in thousandths of the target times milliseconds.
-    fn work(&self, room: &Capacity, ms: u64) -> u64 {
-        u64::from(room.max_permille_of(&self.capacity())) * ms
+    /// Returns the product of capacity and time, in thousandths of the target times milliseconds.
+    fn work(&self, capacity: &Capacity, ms: u64) -> u64 {
+        u64::from(capacity.max_permille_of(&self.capacity())) * ms
     }
 
     fn hall_of(&self, key: &OwnerKey) -> Option<Hall> {
@@ -157,7 +161,8 @@
     owner.need.is_some() && owner.session.is_some() && owner.duty == Duty::Active
 }
 
-/// The mean expected time of the tasks of the most urgent rank, where the entry tells it.
+/// Returns the mean expected time of the tasks with the most urgent rank, in milliseconds, if the
+/// entry reports it.
 fn expected_ms(need: &WaitingNeed) -> Option<u64> {
     let mut by_rank = need.by_rank.iter();
     let work = by_rank.find(|work| work.rank == need.rank)?;
--- a/crates/mastknot_core/src/agent/side_load.rs
+++ b/crates/mastknot_core/src/agent/side_load.rs
@@ -1,10 +1,11 @@
-//! What waits at a side from all entries together: pure.
+//! Load of waiting tasks at a side, over all entries. The function has no side effects.
 
 use std::collections::BTreeMap;
 
 use crate::job::{RankedWork, WaitingNeed};
 
-/// The work of all needs by rank, the most urgent first. What is less urgent than the last rank but one counts as the last.
+/// Returns the sum of the work of all needs by rank, the most urgent first. Ranks beyond the number
+/// of reported ranks are added to the last one.
 pub(super) fn waiting_by_rank<'a>(needs: impl Iterator<Item = &'a WaitingNeed>) -> Vec<RankedWork> {
     let mut ranks: BTreeMap<u8, u64> = BTreeMap::new();
     for work in needs.flat_map(|need| &need.by_rank) {
--- a/crates/mastknot_core/src/agent/target_agent.rs
+++ b/crates/mastknot_core/src/agent/target_agent.rs
@@ -7,13 +7,13 @@
 use super::claim_grace::ClaimGrace;
 use super::confirm_times::ConfirmTimes;
 use super::crash_log::CrashLog;
-use super::directory_news::DirectoryNews;
+use super::directory_digests::DirectoryDigests;
 use super::job_claims::JobClaims;
 use super::owners::{Owner, OwnerKey};
 use super::queued_starts::QueuedStarts;
+use super::target_incarnations::TargetIncarnations;
 use super::target_link::TargetLink;
-use super::target_lives::TargetLives;
-use super::target_pace::TargetPace;
+use super::target_slowdown::TargetSlowdown;
 use super::{
     AgentDecision, AgentEffect, AgentEvent, AgentSettings, HallShares, HallTotals, LeaseEndCause,
     RunPhase, RunTable, SessionId, TargetHealth,
@@ -25,110 +25,131 @@
 use crate::relay::{DocumentFetch, DocumentServer};
 use crate::types::{Moment, NodeName, stable_hash};
 
-/// A link on which the entry has not said yet who it is.
+/// Link on which the entry has not identified itself yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Greeting {
+pub(super) struct Handshake {
+    /// Time at which the hello was sent.
     pub(super) hello_sent: Moment,
-    /// The revision of the drained halls that it told of.
-    pub(super) told_drained: u64,
+    /// Revision of the drained halls that the hello contained.
+    pub(super) drained_revision: u64,
 }
 
-/// The look at the target that is under way.
+/// Probe of the target that is in flight.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LookInFlight {
+pub(super) struct ProbeInFlight {
+    /// Number of the probe.
     pub(super) number: u64,
+    /// Time at which the probe was sent.
     pub(super) sent: Moment,
+    /// Fencing token of the probe.
     pub(super) token: u64,
-    /// Whether it asks the target to hold its runs.
+    /// Whether the probe asks the target to hold its runs.
     pub(super) is_held: bool,
-    /// Whether it names the life that is meant: another one refuses it.
+    /// Whether the probe names the incarnation of the target, so that any other incarnation refuses
+    /// it.
     pub(super) is_named: bool,
-    /// Without an answer by then it has failed.
+    /// Time at which the unanswered probe has failed.
     pub(super) until: Moment,
 }
 
-/// The core of a side: it alone gives orders to its target.
+/// Core of a side. Only this agent gives orders to its target.
 ///
-/// It runs tasks for entries as long as their leases last, tells them what room is free, and says
-/// of each run how it ended. A run is reported as over only when the target listed its end, the
-/// target has fenced it, the hold has run out, or the target's life has ended.
+/// The agent runs tasks for entries as long as their leases last, reports the free capacity, and
+/// reports how each run ended. A run is reported as ended only after the target has listed its end
+/// or fenced it, its hold has expired, or the incarnation of the target has ended.
 #[derive(Clone, Debug)]
 pub struct TargetAgent {
     pub(super) settings: AgentSettings,
-    pub(super) started: Option<Moment>,
-    /// When the last event was handled.
-    pub(super) handled: Moment,
-    /// When it was known what an earlier life had left at the target.
-    pub(super) settled: Option<Moment>,
-    pub(super) survivors_stopped: Option<Moment>,
+    /// Time of the first event.
+    pub(super) started_at: Option<Moment>,
+    /// Time at which the last event was handled.
+    pub(super) last_event_at: Moment,
+    /// Time at which it became known which runs an earlier incarnation of this process had left at
+    /// the target.
+    pub(super) settled_at: Option<Moment>,
+    /// Time at which the surviving runs were last ordered to stop.
+    pub(super) survivors_stopped_at: Option<Moment>,
     pub(super) link: TargetLink,
-    pub(super) lives: TargetLives,
+    pub(super) incarnations: TargetIncarnations,
     pub(super) crashes: CrashLog,
     pub(super) health: TargetHealth,
-    pub(super) pace: TargetPace,
-    pub(super) answers: AnswerTimes,
+    pub(super) slowdown: TargetSlowdown,
+    pub(super) answer_times: AnswerTimes,
     pub(super) confirm_times: ConfirmTimes,
     pub(super) runs: RunTable,
-    /// Starts that wait for room that is expected soon.
+    /// Starts that wait for capacity that is expected soon.
     pub(super) queued: QueuedStarts,
-    /// How often room that nobody was known to need was granted.
+    /// Number of grants of capacity that no entry was known to need.
     pub(super) standing_grants: u64,
-    /// Entries that have not heard yet that room is short may believe until then that some is free for all.
+    /// Time until which entries that have not yet received the report of scarce capacity may assume
+    /// that some is free for all.
     pub(super) shown_until: Moment,
-    /// Runs of an earlier life of this process that no entry has taken over yet.
+    /// Runs of an earlier incarnation of this process that no entry has taken over yet, with their
+    /// progress in percent.
     pub(super) survivors: IndexMap<RunId, u8>,
-    /// Ends that were listed before their entries had said who they are.
+    /// Ends that were listed before the entries of the runs had identified themselves.
     pub(super) orphaned_ends: Vec<EndedRun>,
-    /// Runs that the last look listed and no entry has here.
+    /// Runs that the last probe listed and that no entry owns here.
     pub(super) unclaimed: BTreeSet<RunId>,
+    /// Entries that may start runs here, with their leases.
     pub(super) owners: IndexMap<OwnerKey, Owner>,
-    /// Leases that have ended while runs under them are not known to be over.
+    /// Start times of ended leases under which some runs are not known to be over.
     pub(super) ended_leases: IndexMap<OwnerKey, Moment>,
+    /// Entry incarnation that identified itself on each link.
     pub(super) sessions: IndexMap<SessionId, OwnerKey>,
-    /// Which entry may start each of the jobs about which this side is asked.
+    /// Claims that decide which entry may start a job.
     pub(super) claims: JobClaims,
-    /// Whether others than those that had a job before this start may have it.
+    /// Grace period in which only entries that held a job before this start may claim it.
     pub(super) grace: ClaimGrace,
-    pub(super) greetings: IndexMap<SessionId, Greeting>,
-    pub(super) look: Option<LookInFlight>,
-    pub(super) next_look: u64,
-    pub(super) look_not_before: Moment,
+    /// Links on which the entry has not identified itself yet.
+    pub(super) handshakes: IndexMap<SessionId, Handshake>,
+    pub(super) probe: Option<ProbeInFlight>,
+    /// Number of the next probe.
+    pub(super) next_probe: u64,
+    /// Time before which no further probe is sent.
+    pub(super) probe_not_before: Moment,
+    /// List of entries that this side holds.
     pub(super) entries: Vec<KnownEntry>,
-    pub(super) directory: DirectoryNews,
-    /// The halls that operators have drained.
+    pub(super) directory: DirectoryDigests,
+    /// Halls that operators have drained.
     pub(super) drained: Arc<DrainedHalls>,
-    /// The weights of halls, and who is next by them.
+    /// Weights of halls, by which scarce capacity is divided.
     pub(super) weights: Arc<ShareWeights>,
     pub(super) hall_shares: HallShares,
     pub(super) hall_totals: HallTotals,
-    /// The newest configuration, held for entries that start while the store is away.
+    /// Newest configuration, held for entries that start while the store is unavailable.
     pub(super) document: Option<ConfigDocument>,
+    /// Transfers of the configuration to this side.
     pub(super) fetch: DocumentFetch<SessionId>,
+    /// Transfers of the configuration from this side to entries.
     pub(super) documents: DocumentServer<SessionId>,
     pub(super) condition: TargetCondition,
-    /// Whether the target is slower than usual for a while.
+    /// Whether the target is temporarily slower than usual.
     pub(super) is_cold: bool,
+    /// Whether the process is shutting down as planned.
     pub(super) is_stopping: bool,
+    /// Whether the end of all runs has been reported after the start of the shutdown.
     pub(super) is_drained: bool,
+    /// Effects of the event that is being handled.
     pub(super) effects: Vec<AgentEffect>,
 }
 
 impl TargetAgent {
-    /// An agent that knows nothing of its target yet.
+    /// Creates an agent that knows nothing about its target yet.
     pub fn new(settings: AgentSettings) -> Self {
         let first_choice = stable_hash(&[&settings.side]) as usize;
         Self {
             settings,
-            started: None,
-            handled: Moment::default(),
-            settled: None,
-            survivors_stopped: None,
+            started_at: None,
+            last_event_at: Moment::default(),
+            settled_at: None,
+            survivors_stopped_at: None,
             link: TargetLink::default(),
-            lives: TargetLives::default(),
+            incarnations: TargetIncarnations::default(),
             crashes: CrashLog::default(),
             health: TargetHealth::default(),
-            pace: TargetPace::default(),
-            answers: AnswerTimes::default(),
+            slowdown: TargetSlowdown::default(),
+            answer_times: AnswerTimes::default(),
             confirm_times: ConfirmTimes::default(),
             runs: RunTable::default(),
             queued: QueuedStarts::default(),
@@ -142,12 +163,12 @@
             sessions: IndexMap::new(),
             claims: JobClaims::default(),
             grace: ClaimGrace::default(),
-            greetings: IndexMap::new(),
-            look: None,
-            next_look: 1,
-            look_not_before: Moment::default(),
+            handshakes: IndexMap::new(),
+            probe: None,
+            next_probe: 1,
+            probe_not_before: Moment::default(),
             entries: Vec::new(),
-            directory: DirectoryNews::default(),
+            directory: DirectoryDigests::default(),
             drained: Arc::default(),
             weights: Arc::default(),
             hall_shares: HallShares::default(),
@@ -163,15 +184,15 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting effects.
     pub fn step(&mut self, now: Moment, event: AgentEvent) -> Vec<AgentEffect> {
-        let started = *self.started.get_or_insert(now);
-        self.handled = now;
-        self.end_lapsed_leases(now);
+        let started_at = *self.started_at.get_or_insert(now);
+        self.last_event_at = now;
+        self.end_expired_leases(now);
         self.end_old_offers(now);
         self.end_claims(now);
         self.handle(now, event);
-        self.settle_target(now, started);
+        self.settle_target(now, started_at);
         self.end_grace(now);
         self.retry_stops(now);
         self.forget_ended_leases();
@@ -179,18 +200,18 @@
         self.update_condition(now);
         self.update_coldness(now);
         self.serve_queued(now);
-        self.ensure_look(now);
+        self.ensure_probe(now);
         self.make_offers(now);
         self.report_all(now);
         self.relay_documents(now);
         self.fetch_directory(now);
-        self.note_drained();
+        self.report_drained();
         std::mem::take(&mut self.effects)
     }
 
     fn handle(&mut self, now: Moment, event: AgentEvent) {
         match event {
-            AgentEvent::LinkUp { session } => self.greet(now, session),
+            AgentEvent::LinkUp { session } => self.send_hello(now, session),
             AgentEvent::FromEntry { session, orders } => {
                 for order in orders {
                     self.handle_order(now, session, order);
@@ -205,19 +226,19 @@
                 run,
                 is_acknowledged,
             } => self.stop_answered(now, run, is_acknowledged),
-            AgentEvent::Probed { number, result } => self.looked(now, number, result),
+            AgentEvent::Probed { number, result } => self.probed(now, number, result),
             AgentEvent::EntriesFound(entries) => self.learn_entries(entries),
             AgentEvent::Tick => {}
             AgentEvent::Stop => self.is_stopping = true,
         }
     }
 
-    fn greet(&mut self, now: Moment, session: SessionId) {
-        let greeting = Greeting {
+    fn send_hello(&mut self, now: Moment, session: SessionId) {
+        let handshake = Handshake {
             hello_sent: now,
-            told_drained: self.drained.revision,
+            drained_revision: self.drained.revision,
         };
-        self.greetings.insert(session, greeting);
+        self.handshakes.insert(session, handshake);
         let hello = SideHello {
             side: self.settings.side.clone(),
             incarnation: self.settings.incarnation,
@@ -229,7 +250,7 @@
     }
 
     fn link_down(&mut self, now: Moment, session: SessionId) {
-        self.greetings.swap_remove(&session);
+        self.handshakes.swap_remove(&session);
         self.forget_link(session);
         let Some(key) = self.sessions.swap_remove(&session) else {
             return;
@@ -244,11 +265,11 @@
         }
     }
 
-    /// Stops what runs for entries that have been silent for their lease.
-    fn end_lapsed_leases(&mut self, now: Moment) {
+    /// Stops the runs of entries that have been silent for the whole length of their lease.
+    fn end_expired_leases(&mut self, now: Moment) {
         let terms = &self.settings.terms;
-        let lapsed = |owner: &Owner| now.since(owner.lease_from) > owner.lease_limit(terms);
-        let ended = self.owners.iter().filter(|(_, owner)| lapsed(owner));
+        let is_expired = |owner: &Owner| now.since(owner.lease_from) > owner.lease_limit(terms);
+        let ended = self.owners.iter().filter(|(_, owner)| is_expired(owner));
         let ended: Vec<OwnerKey> = ended.map(|(key, _)| key.clone()).collect();
         for key in ended {
             self.end_lease(now, &key, LeaseEndCause::Silence);
@@ -267,10 +288,10 @@
         self.drop_queued_of(key);
         self.shorten_claims(now, key);
         let runs = self.runs.of_owner(key);
-        // Runs of an earlier one may not be over yet.
+        // Runs of an earlier lease may not be over yet, so that an older start time is kept.
         let ended = self.ended_leases.entry(key.clone());
         ended.or_insert(owner.lease_from);
-        self.decided(AgentDecision::LeaseEnded {
+        self.record_decision(AgentDecision::LeaseEnded {
             entry: key.entry.clone(),
             cause,
             age_ms: now.since(owner.lease_from).as_millis() as u64,
@@ -287,41 +308,43 @@
             .retain(|key, _| runs.iter().any(|(_, run)| run.owner == *key));
     }
 
-    /// After a start, nothing of an earlier life can be left once its hold must have run out.
-    fn settle_target(&mut self, now: Moment, started: Moment) {
-        if !self.link.is_settled && now.since(started) > self.settings.settle_limit {
+    /// Marks the target as settled after the time in which the holds of an earlier incarnation of
+    /// this process must have expired.
+    fn settle_target(&mut self, now: Moment, started_at: Moment) {
+        if !self.link.is_settled && now.since(started_at) > self.settings.settle_limit {
             self.link.is_settled = true;
         }
         if self.link.is_settled {
-            self.settled.get_or_insert(now);
+            self.settled_at.get_or_insert(now);
         }
     }
 
-    /// Stops what an earlier life of this process ran and no entry has taken over. Until that is
-    /// over the hold is not renewed: nobody knows under which lease it runs.
+    /// Stops runs of an earlier incarnation of this process that no entry has taken over. Until
+    /// these runs have ended the hold is not renewed, because it is not known under which lease
+    /// they run.
     fn stop_survivors(&mut self, now: Moment) {
         let Some(due) = self.survivors_due().filter(|due| now >= *due) else {
             return;
         };
-        self.survivors_stopped = Some(due.max(now));
+        self.survivors_stopped_at = Some(due.max(now));
         self.orphaned_ends.clear();
         for run in self.survivors.keys().copied().collect::<Vec<_>>() {
             self.send_stop(run);
         }
     }
 
-    /// When survivors are stopped next.
+    /// Returns the time at which surviving runs are stopped next.
     fn survivors_due(&self) -> Option<Moment> {
         if self.survivors.is_empty() && self.orphaned_ends.is_empty() {
             return None;
         }
-        match self.survivors_stopped {
+        match self.survivors_stopped_at {
             Some(stopped) => Some(stopped + self.settings.stop_retry),
-            None => Some(self.settled? + self.settings.adoption_limit),
+            None => Some(self.settled_at? + self.settings.adoption_limit),
         }
     }
 
-    /// What is free for new runs now.
+    /// Returns the capacity that is free for new runs.
     pub fn free_capacity(&self) -> Capacity {
         let Some(profile) = &self.link.profile else {
             return Capacity::default();
@@ -335,27 +358,27 @@
         }
     }
 
-    /// The side's name.
+    /// Returns the name of the side.
     pub fn side(&self) -> &NodeName {
         &self.settings.side
     }
 
-    /// Whether the target takes work.
+    /// Returns the condition of the target, which decides whether it takes work.
     pub fn condition(&self) -> TargetCondition {
         self.condition
     }
 
-    /// The target, if one is known.
+    /// Returns the profile of the target, if one is known.
     pub fn target(&self) -> Option<&TargetProfile> {
         self.link.profile.as_ref()
     }
 
-    /// The runs that take room.
+    /// Returns the runs that take capacity.
     pub fn runs(&self) -> &RunTable {
         &self.runs
     }
 
-    /// How long entries took to confirm reports.
+    /// Returns statistics of the times that entries took to confirm reports.
     pub fn confirm_times(&self) -> &ConfirmTimes {
         &self.confirm_times
     }
@@ -368,11 +391,11 @@
         self.effects.push(AgentEffect::Send { session, report });
     }
 
-    pub(super) fn decided(&mut self, decision: AgentDecision) {
+    pub(super) fn record_decision(&mut self, decision: AgentDecision) {
         self.effects.push(AgentEffect::Decided(decision));
     }
 
-    fn note_drained(&mut self) {
+    fn report_drained(&mut self) {
         let is_idle = self.runs.is_empty() && self.queued.is_empty() && self.survivors.is_empty();
         if self.is_stopping && is_idle && !self.is_drained {
             self.is_drained = true;
@@ -380,14 +403,14 @@
         }
     }
 
-    /// The next moment at which time alone changes something.
+    /// Returns the next time at which the agent has to act without any other event.
     pub fn next_tick(&self) -> Option<Moment> {
         let terms = &self.settings.terms;
         let leases = self
             .owners
             .values()
             .map(|owner| owner.lease_from + owner.lease_limit(terms));
-        let shared = self.shared_room();
+        let shared = self.shared_capacity();
         let owners = self.owners.values();
         let reports = owners.filter_map(|owner| self.report_due(owner, &shared));
         let stops = self.runs.iter().filter_map(|(_, run)| match run.phase {
@@ -395,15 +418,15 @@
             _ => None,
         });
         let paused = self.health.paused_until();
-        let wakes = [
-            (self.health.is_on_probation() && paused > self.handled).then_some(paused),
-            self.look_due(),
+        let other_ticks = [
+            (self.health.is_on_probation() && paused > self.last_event_at).then_some(paused),
+            self.probe_due(),
             self.survivors_due(),
             (!self.link.is_settled)
-                .then(|| self.started.unwrap_or_default() + self.settings.settle_limit),
+                .then(|| self.started_at.unwrap_or_default() + self.settings.settle_limit),
             self.silence_due(),
             self.is_cold.then_some(self.link.cold_until),
-            (self.link.overlong_until > self.handled).then_some(self.link.overlong_until),
+            (self.link.overlong_until > self.last_event_at).then_some(self.link.overlong_until),
             self.offers_end(),
             self.grants_due(),
             self.relay_due(),
@@ -411,6 +434,6 @@
             self.grace_due(),
         ];
         let all = leases.chain(reports).chain(stops);
-        all.chain(wakes.into_iter().flatten()).min()
+        all.chain(other_ticks.into_iter().flatten()).min()
     }
 }
--- a/crates/mastknot_core/src/agent/target_condition.rs
+++ b/crates/mastknot_core/src/agent/target_condition.rs
@@ -1,8 +1,8 @@
-//! Whether the target takes work.
+//! Condition of the target, which decides whether it takes work.
 
-use super::looks::ABSENT_AFTER;
+use super::probes::ABSENT_AFTER;
 use super::target_agent::TargetAgent;
-use super::target_reports::EndOfLife;
+use super::target_reports::EndOfIncarnation;
 use super::{AgentDecision, Run, RunPhase};
 use crate::job::TargetCondition;
 use crate::types::Moment;
@@ -12,10 +12,11 @@
         if self.silence_due().is_some_and(|due| now >= due) {
             self.lose_all(now);
         }
-        // Nothing can run twice any more: a life that is silent gives way.
-        let is_silent = self.link.failed_looks >= ABSENT_AFTER && self.runs.is_empty();
-        if is_silent && self.lives.other.is_some() {
-            self.instance_over(now, EndOfLife::Crashed);
+        // No run can be started twice any more, so that a silent incarnation yields to the next
+        // one.
+        let is_silent = self.link.failed_probes >= ABSENT_AFTER && self.runs.is_empty();
+        if is_silent && self.incarnations.other.is_some() {
+            self.end_incarnation(now, EndOfIncarnation::Crashed);
         }
         let condition = self.condition_now(now);
         if condition == self.condition {
@@ -23,14 +24,15 @@
         }
         self.condition = condition;
         let target = self.target_id();
-        self.decided(AgentDecision::ConditionChanged { target, condition });
+        self.record_decision(AgentDecision::ConditionChanged { target, condition });
     }
 
-    /// A target gets warm by itself; what its pace was until then says nothing of the time after.
+    /// Updates whether the target is cold. A target warms up without work, so the slowdown that was
+    /// measured while it was cold is dropped.
     pub(super) fn update_coldness(&mut self, now: Moment) {
         let was_cold = std::mem::replace(&mut self.is_cold, now < self.link.cold_until);
         if was_cold && !self.is_cold {
-            self.pace = Default::default();
+            self.slowdown = Default::default();
         }
     }
 
@@ -45,7 +47,7 @@
     fn condition_now(&self, now: Moment) -> TargetCondition {
         let is_present = self.link.profile.is_some()
             && self.link.token.is_some()
-            && self.link.failed_looks < ABSENT_AFTER
+            && self.link.failed_probes < ABSENT_AFTER
             && !self.link.contact_loss.is_refused()
             && self.unconfirmed_runs() < ABSENT_AFTER as usize
             && now >= self.link.overlong_until
--- a/crates/mastknot_core/src/agent/target_health.rs
+++ b/crates/mastknot_core/src/agent/target_health.rs
@@ -2,21 +2,23 @@
 
 use crate::types::Moment;
 
-/// After this many failures in a row a target is on probation.
+/// Number of failures in a row from which a target is on probation.
 const PROBATION_AFTER: u32 = 3;
-/// From this many failures in a row on, a failure is put down to the target.
+/// Number of failures in a row from which a failure is attributed to the target.
 const SUSPECT_FROM: u32 = 2;
-/// A run that stands still counts as this many failures.
+/// Number of failures that a stalled run counts as.
 const STALL_WEIGHT: u32 = 2;
-/// The first pause of a target on probation; it doubles up to [`LONGEST_PAUSE`].
+/// First pause of a target on probation. Each further failure doubles the pause, up to
+/// [`MAX_PAUSE`].
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause of a target on probation.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Upper bound of the pause of a target on probation.
+const MAX_PAUSE: Duration = Duration::from_millis(800);
 
-/// How a target's recent ends change what it is given.
+/// Health of a target, derived from the ends of its recent runs.
 ///
-/// A target that fails or stalls what it starts looks idle and would draw all work. After a few
-/// failures in a row it gets one run at a time, with growing pauses, until one is done.
+/// A target that fails or stalls whatever it starts looks idle and would attract all work. After
+/// several failures in a row such a target gets one run at a time, with growing pauses, until one
+/// run succeeds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetHealth {
     failures: u32,
@@ -25,18 +27,18 @@
 }
 
 impl TargetHealth {
-    /// A run was done.
+    /// Records a run that completed its work.
     pub fn record_done(&mut self) {
         self.failures = 0;
         self.pauses = 0;
     }
 
-    /// A run failed; returns whether the target is to blame.
+    /// Records a failed run; returns whether the failure is attributed to the target.
     pub fn record_failed(&mut self, now: Moment) -> bool {
         self.add_failures(1, now)
     }
 
-    /// A run stood still.
+    /// Records a run that was stopped because it made no progress.
     pub fn record_stalled(&mut self, now: Moment) {
         self.add_failures(STALL_WEIGHT, now);
     }
@@ -45,18 +47,18 @@
         self.failures = self.failures.saturating_add(count);
         if self.is_on_probation() {
             let pause = FIRST_PAUSE * (1 << self.pauses.min(8));
-            self.paused_until = now + pause.min(LONGEST_PAUSE);
+            self.paused_until = now + pause.min(MAX_PAUSE);
             self.pauses += 1;
         }
         self.failures >= SUSPECT_FROM
     }
 
-    /// Whether the target gets one run at a time.
+    /// Returns whether the target gets only one run at a time.
     pub fn is_on_probation(&self) -> bool {
         self.failures >= PROBATION_AFTER
     }
 
-    /// Until when the target gets nothing at all.
+    /// Returns the time until which the target gets no runs at all.
     pub fn paused_until(&self) -> Moment {
         self.paused_until
     }
