--- a/crates/mastknot_core/src/agent/orders.rs
+++ b/crates/mastknot_core/src/agent/orders.rs
@@ -94,8 +94,8 @@
         });
     }
 
-    /// Puts an entry on standby. It orders no starts until it activates the link, and its runs here
-    /// are stopped.
+    /// Puts an entry on standby. The entry orders no starts until it activates the link, and its runs
+    /// here are stopped.
     fn set_standby(&mut self, now: Moment, key: &OwnerKey) {
         for run in self.runs.of_owner(key) {
             self.stop_run(now, run, EndOfRun::Stopped);
