--- a/crates/mastknot_core/src/scheduler/class_slowdowns.rs
+++ b/crates/mastknot_core/src/scheduler/class_slowdowns.rs
@@ -4,80 +4,82 @@
 
 use crate::job::LearnedSlowdown;
 
-/// The weight of a new run against the mean so far.
+/// Weight of a new run in the running mean.
 const WEIGHT: f64 = 1.0 / 64.0;
-/// So many runs of a queue on a class must have ended before they are used.
-const ENOUGH: u32 = 16;
-/// Runs beyond this number add nothing to what a queue tells of a class.
-const MOST_RUNS: u32 = 256;
-/// So many runs end between two times at which paces are worked out.
-const WORKED_OUT_EACH: u32 = 64;
-/// Steps towards the paces that explain the run times best: few classes and queues settle in half as many.
-const ROUNDS: usize = 20;
-/// A run that took this many times its guess, or less by as much, tells no more than one at the bound: a few in a
-/// hundred take many times as long as the rest on any target.
-const MOST_OFF: f64 = 3.0;
-/// Where the slowest class takes less than this many times as long as the fastest, all count as alike.
-const LEAST_UNEQUAL: f64 = 1.1;
-/// The most pairs of queue and class that are kept.
+/// Number of runs of a queue on a class that must have ended before they are used.
+const MIN_RUNS: u32 = 16;
+/// Largest number of runs by which a queue's mean on a class is weighted.
+const MAX_RUNS: u32 = 256;
+/// Number of runs between two updates of the slowdowns.
+const RUNS_BETWEEN_UPDATES: u32 = 64;
+/// Number of iterations that fit the slowdowns to the run times. With few classes and queues half as many are enough.
+const FIT_ITERATIONS: usize = 20;
+/// Largest ratio of run time to estimate, either way, that a single run contributes. On any target, a few runs in a
+/// hundred take many times as long as the rest.
+const MAX_RATIO: f64 = 3.0;
+/// Ratio of the slowest to the fastest class below which all classes count as equally fast.
+const MIN_SPEED_RATIO: f64 = 1.1;
+/// Maximum number of pairs of queue and class that are kept.
 const MAX_CELLS: usize = 512;
 
-/// How the runs of one queue on one class of targets have gone.
+/// Statistics of the runs of one queue on one class of targets.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cell {
     runs: u32,
-    /// The mean logarithm of their times against their callers' guesses.
-    off: f64,
+    /// Mean logarithm of the ratio of run time to the caller's estimate.
+    mean_log_ratio: f64,
 }
 
 impl Cell {
     fn weight(&self) -> f64 {
-        match self.runs >= ENOUGH {
-            true => f64::from(self.runs.min(MOST_RUNS)),
+        match self.runs >= MIN_RUNS {
+            true => f64::from(self.runs.min(MAX_RUNS)),
             false => 0.0,
         }
     }
 }
 
-/// How fast each class of targets is, learned from all runs of an entry: a target that has just started is no unknown one.
+/// Relative speed of each class of targets, learned from all runs of an entry. The speed of a target that has just
+/// started is therefore known from other targets of its class.
 ///
-/// Guesses are off by a factor that differs by queue, and queues go to classes in unequal parts. So only runs of the same
-/// queue on different classes are compared.
+/// Estimates are wrong by a factor that differs between queues, and queues do not use all classes equally. Therefore
+/// only runs of the same queue on different classes are compared.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassSlowdowns {
     cells: HashMap<(Arc<str>, Arc<str>), Cell>,
-    noted: u32,
-    /// Whether the paces have to be worked out again with the next run.
-    is_believed: bool,
-    paces: BTreeMap<Arc<str>, f64>,
+    runs_since_update: u32,
+    /// Whether the next run must update the slowdowns because priors have been merged.
+    has_new_priors: bool,
+    /// Slowdown of each class, empty if no class is known to be faster than another.
+    slowdowns: BTreeMap<Arc<str>, f64>,
 }
 
 impl ClassSlowdowns {
-    /// A run of a queue has done its work on a target of a class; returns whether paces may have to be worked out again.
-    pub(crate) fn note(
+    /// Records a completed run of a queue on a target of a class. Returns whether the slowdowns may need an update.
+    pub(crate) fn record(
         &mut self,
         queue: &Arc<str>,
         class: &Arc<str>,
-        guess: Duration,
-        ran: Duration,
+        estimate: Duration,
+        run_time: Duration,
     ) -> bool {
         let key = (Arc::clone(queue), Arc::clone(class));
-        if guess.is_zero() || (self.cells.len() == MAX_CELLS && !self.cells.contains_key(&key)) {
+        if estimate.is_zero() || (self.cells.len() == MAX_CELLS && !self.cells.contains_key(&key)) {
             return false;
         }
-        let ratio = ran.as_secs_f64() / guess.as_secs_f64();
-        let off = ratio.clamp(1.0 / MOST_OFF, MOST_OFF).ln();
+        let ratio = run_time.as_secs_f64() / estimate.as_secs_f64();
+        let log_ratio = ratio.clamp(1.0 / MAX_RATIO, MAX_RATIO).ln();
         let cell = self.cells.entry(key).or_default();
         cell.runs = cell.runs.saturating_add(1);
         let weight = WEIGHT.max(1.0 / f64::from(cell.runs));
-        cell.off += (off - cell.off) * weight;
-        self.noted += 1;
-        self.noted >= WORKED_OUT_EACH || std::mem::take(&mut self.is_believed)
+        cell.mean_log_ratio += (log_ratio - cell.mean_log_ratio) * weight;
+        self.runs_since_update += 1;
+        self.runs_since_update >= RUNS_BETWEEN_UPDATES || std::mem::take(&mut self.has_new_priors)
     }
 
-    /// Takes another process's belief where it stands on more runs; the next run works the paces out again, as other targets
-    /// may be known by then.
-    pub(crate) fn believe(&mut self, learned: &LearnedSlowdown) {
+    /// Merges a value that another process has learned, if it is based on more runs than the own one. The slowdowns are
+    /// updated with the next run, as more targets may be known by then.
+    pub(crate) fn merge_prior(&mut self, learned: &LearnedSlowdown) {
         let key = (Arc::clone(&learned.queue), Arc::clone(&learned.class));
         if self.cells.len() == MAX_CELLS && !self.cells.contains_key(&key) {
             return;
@@ -87,58 +89,59 @@
             return;
         }
         cell.runs = learned.runs;
-        cell.off = learned.log_ratio.clamp(-MOST_OFF.ln(), MOST_OFF.ln());
-        self.is_believed = true;
+        cell.mean_log_ratio = learned.log_ratio.clamp(-MAX_RATIO.ln(), MAX_RATIO.ln());
+        self.has_new_priors = true;
     }
 
-    /// What its runs have shown.
+    /// Returns the statistics of all pairs of queue and class, sorted by queue and class.
     pub(crate) fn learned(&self) -> Vec<LearnedSlowdown> {
-        let paces = self
+        let slowdowns = self
             .cells
             .iter()
             .map(|((queue, class), cell)| LearnedSlowdown {
                 queue: Arc::clone(queue),
                 class: Arc::clone(class),
                 runs: cell.runs,
-                log_ratio: cell.off,
+                log_ratio: cell.mean_log_ratio,
             });
-        let mut paces: Vec<LearnedSlowdown> = paces.collect();
-        paces.sort_by(|one, other| (&one.queue, &one.class).cmp(&(&other.queue, &other.class)));
-        paces
+        let mut slowdowns: Vec<LearnedSlowdown> = slowdowns.collect();
+        slowdowns.sort_by(|one, other| (&one.queue, &one.class).cmp(&(&other.queue, &other.class)));
+        slowdowns
     }
 
-    /// Works the paces out; `targets` has how many there are of each class.
-    pub(crate) fn work_out(&mut self, targets: &BTreeMap<Arc<str>, usize>) {
-        self.noted = 0;
-        let mut logs: BTreeMap<Arc<str>, f64> = BTreeMap::new();
-        for _ in 0..ROUNDS {
-            let guesses = self.means(|(queue, _)| queue, |(_, class)| log_of(&logs, class));
-            logs = self.means(|(_, class)| class, |(queue, _)| log_of(&guesses, queue));
+    /// Updates the slowdowns from the recorded runs. `targets` holds the number of targets of each class.
+    pub(crate) fn update(&mut self, targets: &BTreeMap<Arc<str>, usize>) {
+        self.runs_since_update = 0;
+        let mut class_logs: BTreeMap<Arc<str>, f64> = BTreeMap::new();
+        for _ in 0..FIT_ITERATIONS {
+            let queue_logs =
+                self.means(|(queue, _)| queue, |(_, class)| log_of(&class_logs, class));
+            class_logs = self.means(|(_, class)| class, |(queue, _)| log_of(&queue_logs, queue));
         }
-        let weighed = targets.iter().filter_map(|(class, count)| {
-            let log = logs.get(class)?;
+        let counted = targets.iter().filter_map(|(class, count)| {
+            let log = class_logs.get(class)?;
             Some((*log, *count as f64))
         });
-        let (sum, count) = weighed.fold((0.0, 0.0), |(sum, all), (log, count)| {
+        let (sum, count) = counted.fold((0.0, 0.0), |(sum, all), (log, count)| {
             (sum + log * count, all + count)
         });
-        let middle = if count > 0.0 { sum / count } else { 0.0 };
-        let slowest = logs.values().copied().fold(f64::MIN, f64::max);
-        let fastest = logs.values().copied().fold(f64::MAX, f64::min);
-        if slowest - fastest < LEAST_UNEQUAL.ln() {
-            logs.clear();
+        let mean = if count > 0.0 { sum / count } else { 0.0 };
+        let slowest = class_logs.values().copied().fold(f64::MIN, f64::max);
+        let fastest = class_logs.values().copied().fold(f64::MAX, f64::min);
+        if slowest - fastest < MIN_SPEED_RATIO.ln() {
+            class_logs.clear();
         }
-        let paces = logs.into_iter();
-        let paces = paces.map(|(class, log)| (class, (log - middle).exp()));
-        self.paces = paces.collect();
+        let slowdowns = class_logs.into_iter();
+        let slowdowns = slowdowns.map(|(class, log)| (class, (log - mean).exp()));
+        self.slowdowns = slowdowns.collect();
     }
 
-    /// Whether no class is known to be faster than another.
-    pub(crate) fn are_alike(&self) -> bool {
-        self.paces.is_empty()
+    /// Returns whether no class is known to be faster than another.
+    pub(crate) fn is_uniform(&self) -> bool {
+        self.slowdowns.is_empty()
     }
 
-    /// The mean of what the cells of each group leave unexplained by the other.
+    /// Returns for each group (queue or class) the weighted mean of what the other factor leaves unexplained.
     fn means<'a>(
         &'a self,
         group: impl Fn(&'a (Arc<str>, Arc<str>)) -> &'a Arc<str>,
@@ -147,7 +150,7 @@
         let mut sums: BTreeMap<Arc<str>, (f64, f64)> = BTreeMap::new();
         for (key, cell) in self.cells.iter().filter(|(_, cell)| cell.weight() > 0.0) {
             let (sum, weight) = sums.entry(Arc::clone(group(key))).or_default();
-            *sum += (cell.off - explained(key)) * cell.weight();
+            *sum += (cell.mean_log_ratio - explained(key)) * cell.weight();
             *weight += cell.weight();
         }
         let means = sums.into_iter();
@@ -156,17 +159,17 @@
             .collect()
     }
 
-    /// How long work takes on a class against the middle of all targets: 2 for half as fast.
-    pub(crate) fn pace(&self, class: &str) -> f64 {
-        self.paces.get(class).copied().unwrap_or(1.0)
+    /// Returns the time that work takes on a class relative to the mean of all targets: 2 means half as fast.
+    pub(crate) fn slowdown(&self, class: &str) -> f64 {
+        self.slowdowns.get(class).copied().unwrap_or(1.0)
     }
 
-    /// The pace of the slowest class.
-    pub(crate) fn slowest(&self) -> f64 {
-        self.paces.values().copied().fold(1.0, f64::max)
+    /// Returns the slowdown of the slowest class, or 1 if that is larger.
+    pub(crate) fn max_slowdown(&self) -> f64 {
+        self.slowdowns.values().copied().fold(1.0, f64::max)
     }
 }
 
-fn log_of(logs: &BTreeMap<Arc<str>, f64>, name: &Arc<str>) -> f64 {
-    logs.get(name).copied().unwrap_or_default()
+fn log_of(class_logs: &BTreeMap<Arc<str>, f64>, name: &Arc<str>) -> f64 {
+    class_logs.get(name).copied().unwrap_or_default()
 }
--- a/crates/mastknot_core/src/scheduler/contained_kinds.rs
+++ b/crates/mastknot_core/src/scheduler/contained_kinds.rs
@@ -1,7 +1,7 @@
-//! Kinds of tasks that crash targets: their part of the targets, and what is started there.
+//! Containment of kinds of tasks that crash targets: which sides are reserved for them and what is started there.
 //!
-//! All entries hear of the same crashes, and a part follows from the names of its kind and of the sides, so that they agree
-//! on it without asking each other.
+//! All entries receive the same crash reports, and the reserved sides follow from the names of the kind and of the
+//! sides. Entries therefore agree on them without exchanging messages.
 
 use std::time::Duration;
 
@@ -15,82 +15,86 @@
 };
 use crate::types::{Moment, NodeName, stable_hash_of};
 
-/// The share of the work of a kind of which little is known yet.
-const USUAL_SHARE: f64 = 0.25;
-/// A kind with nearly all of the work is not contained: there is nobody to be kept apart from it.
-const LARGEST_SHARE: f64 = 0.95;
-/// All contained kinds together have no more than this part of the targets.
-const MOST_OF_TARGETS: f64 = 0.5;
-/// The other kinds keep so many times the room that they use: it is never filled without gaps, and some of them wait then.
-const OTHERS_HEADROOM: f64 = 1.5;
-/// Added to the score of a target for a task of a contained kind when other tasks of its job run elsewhere: a job that
-/// crashes its targets then crashes one.
-const APART_PENALTY: u32 = 2_000;
+/// Assumed share of the work for a kind with few completed runs.
+const DEFAULT_SHARE: f64 = 0.25;
+/// Share of the work at or above which a kind is not contained: with nearly all of the work there are no other kinds
+/// to protect from it.
+const MAX_SHARE: f64 = 0.95;
+/// Maximum share of the targets that is reserved for all contained kinds together.
+const MAX_RESERVED_SHARE: f64 = 0.5;
+/// Ratio of the capacity that is left to the other kinds to the capacity that they use. Capacity is never filled
+/// without gaps, and some of their tasks may be waiting instead of running.
+const HEADROOM_FACTOR: f64 = 1.5;
+/// Added to the score of a target for a task of a contained kind when other tasks of its job run elsewhere. A job that
+/// crashes its targets then crashes a single one.
+const SCATTER_PENALTY: u32 = 2_000;
 
 impl JobScheduler {
-    /// Contains the kinds whose tasks are known to have crashed targets.
-    pub(super) fn contain_guilty_kinds(
+    /// Contains the kinds whose tasks are confirmed to have crashed targets.
+    pub(super) fn contain_confirmed_kinds(
         &mut self,
         now: Moment,
         side: &NodeName,
         crash: &TargetCrash,
     ) {
-        let news = self.without_known_suspects(now, crash);
-        let mut contained = self.containment.note_crash(now, side, &news);
-        for crashed in &news.runs {
+        let relevant = self.without_known_suspects(now, crash);
+        let mut contained = self.containment.record_crash(now, side, &relevant);
+        for crashed in &relevant.runs {
             let kind = crashed.kind;
-            let has_others = self.share_of(kind) < LARGEST_SHARE;
-            if !has_others || !self.crashes.is_guilty(&crashed.run.task) {
+            let has_others = self.work_share(kind) < MAX_SHARE;
+            if !has_others || !self.crashes.is_confirmed(&crashed.run.task) {
                 continue;
             }
-            let part = self.part_for(kind);
-            if self.containment.contain(now, kind, crashed.ran(), part) {
+            let share = self.reserved_share_for(kind);
+            if self.containment.contain(now, kind, crashed.ran(), share) {
                 contained.push(kind);
             }
         }
-        self.note_crashed_sides(crash);
-        // A kind that is contained already may have crashed one more side.
+        self.record_crashed_sides(crash);
+        // A kind that is already contained may have crashed another side.
         self.reassign_reserved_sides();
         if contained.is_empty() {
             return;
         }
         for kind in contained {
             self.counters.kinds_contained += 1;
-            let targets = self.part_of(kind).count();
+            let targets = self.reserved_sides(kind).count();
             self.record_decision(SchedulerDecision::KindContained { kind, targets });
         }
         self.give_up_suspects(now);
         self.requeue_all(now);
     }
 
-    /// Notes for each kind the sides whose targets its tasks in this crash are known to have crashed.
-    fn note_crashed_sides(&mut self, crash: &TargetCrash) {
+    /// Records for each kind in this crash the sides that its tasks are confirmed to have crashed.
+    fn record_crashed_sides(&mut self, crash: &TargetCrash) {
         for crashed in &crash.runs {
             for side in self.crashes.crashed_sides(&crashed.run.task) {
-                self.containment.note_side(crashed.kind, &side);
+                self.containment.record_crashed_side(crashed.kind, &side);
             }
         }
     }
 
-    /// The crash without the tasks that had crashed targets before their kind was released, or while it is contained: they
-    /// say nothing of the new tasks of their kind.
+    /// Returns the crash without tasks that had crashed targets before their kind was released, or while their kind is
+    /// contained: they show nothing about new tasks of the kind.
     fn without_known_suspects(&self, now: Moment, crash: &TargetCrash) -> TargetCrash {
         let crashed = now - Duration::from_millis(u64::from(crash.ago_ms));
-        let is_news = |run: &CrashedRun| {
+        let is_relevant = |run: &CrashedRun| {
             let first = self.crashes.first_crash(&run.run.task);
-            let released = self.containment.released(run.kind);
+            let released = self.containment.released_at(run.kind);
             match (released, first) {
                 (Some(released), Some(first)) => first > released,
-                (None, Some(first)) if self.containment.ran(run.kind).is_some() => first >= crashed,
+                (None, Some(first)) if self.containment.time_to_crash(run.kind).is_some() => {
+                    first >= crashed
+                }
                 _ => true,
             }
         };
-        let mut news = crash.clone();
-        news.runs.retain(is_news);
-        news
+        let mut relevant = crash.clone();
+        relevant.runs.retain(is_relevant);
+        relevant
     }
 
-    /// Contains the kinds that earlier processes had contained: finding them again would cost targets.
+    /// Contains the kinds that earlier processes had contained. Detecting them again would cost targets.
     pub(super) fn contain_learned(&mut self, now: Moment, suspects: &[LearnedSuspect]) {
         let mut contained = Vec::new();
         for suspect in suspects {
@@ -101,16 +105,16 @@
         if contained.is_empty() {
             return;
         }
-        self.assign_parts();
+        self.assign_reserved_sides();
         for kind in contained {
             self.counters.kinds_known += 1;
-            let targets = self.part_of(kind).count();
+            let targets = self.reserved_sides(kind).count();
             self.record_decision(SchedulerDecision::KindKnown { kind, targets });
         }
         self.requeue_all(now);
     }
 
-    /// Releases the kinds that have shown to be sound.
+    /// Releases the kinds that have proven healthy.
     pub(super) fn release_healthy_kinds(&mut self, now: Moment) {
         if self.containment.is_empty() {
             return;
@@ -119,7 +123,7 @@
         if released.is_empty() {
             return;
         }
-        self.assign_parts();
+        self.assign_reserved_sides();
         for kind in released {
             self.counters.kinds_released += 1;
             self.record_decision(SchedulerDecision::KindReleased { kind });
@@ -127,84 +131,88 @@
         self.requeue_all(now);
     }
 
-    /// How long a task of a kind that has a part of the targets ran until its target crashed. Where there are too few
-    /// targets for a part, a contained kind is treated like any other.
+    /// Returns how long a task of an isolated kind ran until its target crashed. A kind is isolated if it is contained
+    /// and has reserved sides; with too few targets to reserve any, it is treated like any other kind.
     pub(super) fn isolated_time_to_crash(&self, kind: TaskKind) -> Option<Duration> {
-        let has_part = self.kinds_with_own_targets.contains(&kind);
-        has_part.then(|| self.containment.ran(kind)).flatten()
+        let has_reserved_sides = self.kinds_with_own_targets.contains(&kind);
+        has_reserved_sides
+            .then(|| self.containment.time_to_crash(kind))
+            .flatten()
     }
 
-    /// Links have come or gone, or a kind has crashed a target.
+    /// Updates the reserved sides after links were opened or closed or a kind has crashed a target.
     pub(super) fn reassign_reserved_sides(&mut self) {
         if !self.containment.is_empty() {
-            self.assign_parts();
+            self.assign_reserved_sides();
         }
     }
 
-    /// Gives each contained kind its part of the linked sides.
-    fn assign_parts(&mut self) {
+    /// Reserves its share of the linked sides for each contained kind.
+    fn assign_reserved_sides(&mut self) {
         self.sides
             .values_mut()
             .for_each(|side| side.reserved_for = None);
         let linked = self.sides.values().filter(|side| side.session.is_some());
         let linked = linked.count();
         let kinds: Vec<(TaskKind, f64)> = self.containment.contained().collect();
-        let wanted: f64 = kinds.iter().map(|(_, part)| part).sum();
-        let scale = (MOST_OF_TARGETS / wanted).min(1.0);
-        let mut left = (linked as f64 * MOST_OF_TARGETS) as usize;
+        let wanted: f64 = kinds.iter().map(|(_, share)| share).sum();
+        let scale = (MAX_RESERVED_SHARE / wanted).min(1.0);
+        let mut left = (linked as f64 * MAX_RESERVED_SHARE) as usize;
         self.kinds_with_own_targets.clear();
-        for (kind, part) in kinds {
-            let count = part_size(linked, part * scale).min(left);
+        for (kind, share) in kinds {
+            let count = reserved_count(linked, share * scale).min(left);
             if count == 0 {
                 continue;
             }
             left -= count;
             self.kinds_with_own_targets.push(kind);
-            for place in self.first_places(kind, count) {
-                self.sides[place].reserved_for = Some(kind);
+            for index in self.first_available_sides(kind, count) {
+                self.sides[index].reserved_for = Some(kind);
             }
         }
     }
 
-    /// The first linked sides for a kind that are kept for no other: those whose targets it has crashed, so that the
-    /// others lose no more to it than these, and then by rank.
-    fn first_places(&self, kind: TaskKind, count: usize) -> Vec<usize> {
+    /// Returns the first linked sides to reserve for a kind among those that are reserved for no other. Sides whose
+    /// targets the kind has crashed come first, so that the other kinds lose no more targets to it; the rest follow by
+    /// rank.
+    fn first_available_sides(&self, kind: TaskKind, count: usize) -> Vec<usize> {
         let sides = self.sides.iter().enumerate();
         let open =
             sides.filter(|(_, (_, side))| side.session.is_some() && side.reserved_for.is_none());
         let crashed = self.containment.crashed_sides(kind);
-        let turn = |name: &NodeName| crashed.iter().position(|side| side == name);
-        let ranked = open.map(|(place, (name, _))| {
-            let turn = turn(name).unwrap_or(usize::MAX);
-            (turn, part_rank(kind, name), place)
+        let position = |name: &NodeName| crashed.iter().position(|side| side == name);
+        let ranked = open.map(|(index, (name, _))| {
+            let position = position(name).unwrap_or(usize::MAX);
+            (position, reservation_rank(kind, name), index)
         });
         let mut ranked: Vec<(usize, u32, usize)> = ranked.collect();
         ranked.sort_unstable();
         let first = ranked.into_iter().take(count);
-        first.map(|(_, _, place)| place).collect()
+        first.map(|(_, _, index)| index).collect()
     }
 
-    /// The places of the sides that would be kept for a kind. A suspect is tried there first: should its kind be contained
-    /// then, the others have lost no target of theirs to that.
+    /// Returns the indices of the sides that would be reserved for a kind. A suspect is tried there first: if its kind
+    /// is contained later, the other kinds have lost no target of their own to the trial.
     pub(super) fn prospective_reserved_sides(&self, kind: TaskKind) -> Vec<usize> {
         let linked = self.sides.values().filter(|side| side.session.is_some());
-        let count = part_size(linked.count(), self.part_for(kind));
-        self.first_places(kind, count)
+        let count = reserved_count(linked.count(), self.reserved_share_for(kind));
+        self.first_available_sides(kind, count)
     }
 
-    /// The part of the targets that a kind would have now: what the others do not need, and not less than its share of the
-    /// work. A part of targets that are gone half of the time serves less than its size.
-    fn part_for(&self, kind: TaskKind) -> f64 {
-        let share = self.share_of(kind);
-        let others = self.used_share() * (1.0 - share);
-        let spare = 1.0 - OTHERS_HEADROOM * others;
-        spare.max(share).min(MOST_OF_TARGETS)
+    /// Returns the share of the targets to reserve for a kind: the capacity that the other kinds do not need, but at
+    /// least the kind's share of the work. Targets that are down half of the time serve less than their number
+    /// suggests.
+    fn reserved_share_for(&self, kind: TaskKind) -> f64 {
+        let share = self.work_share(kind);
+        let others = self.used_capacity_share() * (1.0 - share);
+        let spare = 1.0 - HEADROOM_FACTOR * others;
+        spare.max(share).min(MAX_RESERVED_SHARE)
     }
 
-    /// How much of the room of the targets that are seen to take work is in use, from 0 to 1.
-    fn used_share(&self) -> f64 {
-        let seen = self.sides.values().filter(|side| side.takes_work());
-        let (used, all) = seen.fold((0.0, 0.0), |(used, all), side| {
+    /// Returns the used share of the capacity of all targets that accept work, from 0 to 1.
+    fn used_capacity_share(&self) -> f64 {
+        let open = self.sides.values().filter(|side| side.takes_work());
+        let (used, all) = open.fold((0.0, 0.0), |(used, all), side| {
             let capacity = side
                 .target
                 .as_ref()
@@ -215,40 +223,43 @@
         if all > 0.0 { used / all } else { 1.0 }
     }
 
-    fn share_of(&self, kind: TaskKind) -> f64 {
-        self.kind_loads.share(kind).unwrap_or(USUAL_SHARE)
+    fn work_share(&self, kind: TaskKind) -> f64 {
+        self.kind_loads.share(kind).unwrap_or(DEFAULT_SHARE)
     }
 
-    fn part_of(&self, kind: TaskKind) -> impl Iterator<Item = &SideView> {
+    fn reserved_sides(&self, kind: TaskKind) -> impl Iterator<Item = &SideView> {
         let sides = self.sides.values();
         sides.filter(move |side| side.reserved_for == Some(kind))
     }
 
-    /// The contained kind of a job, if it has tasks of one.
+    /// Returns the isolated kind of a job's tasks, if there is one.
     pub(super) fn contained_kind(&self, job: &ActiveJob) -> Option<TaskKind> {
         let mut kinds = job.kinds.iter().copied();
         kinds.find(|kind| self.isolated_time_to_crash(*kind).is_some())
     }
 
-    /// Gives up a job of a contained kind under which a target has crashed as under others of its kind: each further start
-    /// may cost one more, for which several other jobs would be done. It is not known for certain, so its callers may come
-    /// again; while the kind is contained nothing of it starts.
+    /// Gives up a job of an isolated kind if a target crashed under one of its tasks after about the same time as under
+    /// other tasks of the kind. Each further start may cost another target, in the time of which several other jobs
+    /// would be completed.
+    ///
+    /// The cause is not confirmed, so the job is answered with a timeout and its callers may submit it again. While the
+    /// kind is contained, no task of the job starts.
     pub(super) fn give_up_suspect(&mut self, now: Moment, id: JobId) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.is_over) else {
             return;
         };
-        if self.has_crashed_alike(job) {
+        if self.is_likely_cause(job) {
             self.counters.suspects_given_up += 1;
             self.answer(now, id, JobAnswer::TimedOut);
         }
     }
 
-    fn has_crashed_alike(&self, job: &ActiveJob) -> bool {
+    fn is_likely_cause(&self, job: &ActiveJob) -> bool {
         let open = job.tasks.iter().enumerate();
         let mut open = open.filter(|(_, task)| task.state != TaskState::Done);
-        open.any(|(place, task)| {
-            let usual = self.isolated_time_to_crash(job.kind(place));
-            let own = self.crashes.suspect_ran(&task.name);
+        open.any(|(index, task)| {
+            let usual = self.isolated_time_to_crash(job.kind(index));
+            let own = self.crashes.suspect_time_to_crash(&task.name);
             usual
                 .zip(own)
                 .is_some_and(|(usual, own)| are_similar_run_times(usual, own))
@@ -262,17 +273,17 @@
         }
     }
 
-    /// Whether a job's kind is contained and none of its targets takes work.
+    /// Returns whether a job belongs to an isolated kind and none of the sides reserved for that kind accepts work.
     pub(super) fn has_no_usable_reserved_side(&self, id: JobId) -> bool {
         let job = self.jobs.get(&id);
         let Some(kind) = job.and_then(|job| self.contained_kind(job)) else {
             return false;
         };
-        let mut part = self.part_of(kind);
-        !part.any(|side| side.session.is_some() && side.condition.takes_work())
+        let mut reserved = self.reserved_sides(kind);
+        !reserved.any(|side| side.session.is_some() && side.condition.takes_work())
     }
 
-    /// Whether a job's task may run at a side as far as kinds are kept apart.
+    /// Returns whether the isolation of kinds allows a task of a job to run at a side.
     pub(super) fn is_allowed_by_isolation(
         &self,
         now: Moment,
@@ -284,10 +295,11 @@
         if self.isolated_time_to_crash(kind).is_none() {
             return side.reserved_for.is_none();
         }
-        side.reserved_for == Some(kind) && !side.is_tried_by_other(now, job.request.id)
+        side.reserved_for == Some(kind) && !side.has_other_trial(now, job.request.id)
     }
 
-    /// What a task of a contained kind pays for a target besides.
+    /// Returns the penalty that is added to the score of a side for a task of an isolated kind. It is nonzero if other
+    /// tasks of its job run only at other sides.
     pub(super) fn scatter_penalty(&self, job: &ActiveJob, task: usize, name: &NodeName) -> u32 {
         if self.isolated_time_to_crash(job.kind(task)).is_none() {
             return 0;
@@ -300,31 +312,31 @@
                 _ => {}
             }
         }
-        u32::from(runs_elsewhere) * APART_PENALTY
+        u32::from(runs_elsewhere) * SCATTER_PENALTY
     }
 
-    /// A side has turned a task away because another job of its kind is on trial there.
+    /// Records that a side has rejected a task because another job of its kind is in an isolation trial there.
     pub(super) fn record_other_trial(&mut self, now: Moment, side: &NodeName, kind: TaskKind) {
-        let Some(ran) = self.isolated_time_to_crash(kind) else {
+        let Some(time_to_crash) = self.isolated_time_to_crash(kind) else {
             return;
         };
         if let Some(view) = self.sides.get_mut(side) {
-            let until = now + trial_time(ran);
+            let until = now + trial_time(time_to_crash);
             view.trial = Some(SideTrial { job: None, until });
         }
     }
 
-    /// When the next trial ends for which a task waits.
+    /// Returns when the next isolation trial ends for which a task waits.
     pub(super) fn trials_due(&self) -> Option<Moment> {
         let (last, _) = self.waiting.last_key_value()?;
         if !last.is_contained {
             return None;
         }
-        let kept = self
+        let reserved = self
             .sides
             .values()
             .filter(|side| side.reserved_for.is_some());
-        let ends = kept.filter_map(|side| side.trial.map(|trial| trial.until));
+        let ends = reserved.filter_map(|side| side.trial.map(|trial| trial.until));
         ends.filter(|until| *until > self.last_event_at).min()
     }
 
@@ -336,13 +348,14 @@
     }
 }
 
-/// How many of so many sides a part of them is. Entries that have seen other loads agree on all but the last of them.
-fn part_size(sides: usize, part: f64) -> usize {
-    let count = (sides as f64 * part).round() as usize;
+/// Returns the number of sides that a share of all sides amounts to, at least 1. Entries that have observed different
+/// loads differ only in the last sides of the reservation.
+fn reserved_count(sides: usize, share: f64) -> usize {
+    let count = (sides as f64 * share).round() as usize;
     count.max(1)
 }
 
-/// How soon a side is taken for a kind's part.
-fn part_rank(kind: TaskKind, side: &NodeName) -> u32 {
+/// Returns the rank of a side for a kind: sides with the lowest ranks are reserved first.
+fn reservation_rank(kind: TaskKind, side: &NodeName) -> u32 {
     stable_hash_of(&[&kind.to_string(), side.as_str()])
 }
--- a/crates/mastknot_core/src/scheduler/containment.rs
+++ b/crates/mastknot_core/src/scheduler/containment.rs
@@ -4,123 +4,130 @@
 use crate::job::{CrashedRun, LearnedSuspect, TargetCrash, TaskKind, are_similar_run_times};
 use crate::types::{Moment, NodeName};
 
-/// So many runs at least have to do their work without a crash before their kind counts as sound.
-const LEAST_SOUND: u32 = 32;
-/// The share of containments that may end by chance while the kind still crashes targets.
-const RELEASED_BY_CHANCE: f64 = 0.02;
-/// No kind is released sooner after its last crash: others may not have been heard of yet.
-const LEAST_CONTAINED: Duration = Duration::from_secs(1);
-/// After this time without a crash the least number of sound runs is enough.
-const LONG_CONTAINED: Duration = Duration::from_secs(4);
-/// A kind is released after this time without a crash, whatever ran.
-const MOST_CONTAINED: Duration = Duration::from_secs(10);
-/// For so long after a kind's release a single crash that is like those before contains it again.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Minimum number of runs that must complete without a crash before their kind counts as healthy.
+const MIN_SUCCESSES: u32 = 32;
+/// Accepted probability that a kind that still crashes targets is released by chance.
+const MAX_FALSE_RELEASE: f64 = 0.02;
+/// Minimum time between the last crash of a kind and its release: reports of other crashes may still be on their way.
+const MIN_CONTAINMENT: Duration = Duration::from_secs(1);
+/// Time without a crash after which [`MIN_SUCCESSES`] completed runs are enough for a release.
+const LONG_CONTAINMENT: Duration = Duration::from_secs(4);
+/// Time without a crash after which a kind is released regardless of its runs.
+const MAX_CONTAINMENT: Duration = Duration::from_secs(10);
+/// Time after the last crash of a released kind during which a single similar crash contains it again.
+const RELEASED_KIND_RETENTION: Duration = Duration::from_secs(60);
 
-/// The thousandths of a whole.
+/// Thousandths in a whole.
 const PER_MILLE: f64 = 1_000.0;
 
-/// A kind of tasks that have crashed their targets.
+/// A kind of tasks that has crashed targets.
 #[derive(Clone, Debug)]
 struct SuspectKind {
-    /// How long one of its tasks ran until its target crashed.
-    ran: Duration,
-    /// The part of the targets that it has, from 0 to 1.
-    part: f64,
-    /// The sides whose targets its tasks have crashed, in the order of the crashes.
-    crashed: Vec<NodeName>,
+    /// How long a task of the kind ran until its target crashed.
+    time_to_crash: Duration,
+    /// Share of the targets that the kind may use, from 0 to 1.
+    target_share: f64,
+    /// Sides whose targets tasks of the kind have crashed, in the order of the crashes.
+    crashed_sides: Vec<NodeName>,
     last_crash: Moment,
+    /// Number of crashes since the kind was contained, including the one that led to that.
     crashes: u32,
-    /// Runs that did their work while the kind was contained, and how many of them since the last crash.
-    done: u32,
-    done_since: u32,
-    /// When it was released; none while it is contained.
-    released: Option<Moment>,
+    /// Number of runs that have completed while the kind was contained.
+    successes: u32,
+    /// Number of runs that have completed since the last crash while the kind was contained.
+    successes_since_crash: u32,
+    /// When the kind was released, or `None` while it is contained.
+    released_at: Option<Moment>,
 }
 
 impl SuspectKind {
-    fn new(now: Moment, ran: Duration, part: f64) -> Self {
+    fn new(now: Moment, time_to_crash: Duration, target_share: f64) -> Self {
         Self {
-            ran,
-            part,
-            crashed: Vec::new(),
+            time_to_crash,
+            target_share,
+            crashed_sides: Vec::new(),
             last_crash: now,
             crashes: 1,
-            done: 0,
-            done_since: 0,
-            released: None,
+            successes: 0,
+            successes_since_crash: 0,
+            released_at: None,
         }
     }
 
-    fn note_crash(&mut self, now: Moment) {
+    fn record_crash(&mut self, now: Moment) {
         self.last_crash = now;
         self.crashes += 1;
-        self.done_since = 0;
+        self.successes_since_crash = 0;
     }
 
-    fn note_side(&mut self, side: &NodeName) {
-        if !self.crashed.contains(side) {
-            self.crashed.push(side.clone());
+    fn record_crashed_side(&mut self, side: &NodeName) {
+        if !self.crashed_sides.contains(side) {
+            self.crashed_sides.push(side.clone());
         }
     }
 
     fn is_contained(&self) -> bool {
-        self.released.is_none()
+        self.released_at.is_none()
     }
 
-    /// Contains it anew. What it has crashed is still its own: the other entries, which may not have released it, keep that.
+    /// Contains a released kind again. It keeps the list of crashed sides, because other entries that have not released
+    /// the kind still use the same list.
     fn contain_again(&mut self, now: Moment) {
         *self = Self {
-            crashed: std::mem::take(&mut self.crashed),
-            ..Self::new(now, self.ran, self.part)
+            crashed_sides: std::mem::take(&mut self.crashed_sides),
+            ..Self::new(now, self.time_to_crash, self.target_share)
         };
     }
 
-    /// Whether enough has run without a crash.
-    fn is_sound(&self, now: Moment) -> bool {
+    /// Returns whether enough runs have completed without a crash, or enough time has passed since the last one.
+    fn is_healthy(&self, now: Moment) -> bool {
         let since = now.since(self.last_crash);
-        let enough = match since >= LONG_CONTAINED {
-            true => LEAST_SOUND,
-            false => LEAST_SOUND.max(self.runs_that_tell()),
+        let enough = match since >= LONG_CONTAINMENT {
+            true => MIN_SUCCESSES,
+            false => MIN_SUCCESSES.max(self.successes_needed()),
         };
-        let has_shown = since >= LEAST_CONTAINED && self.done_since >= enough;
-        has_shown || since >= MOST_CONTAINED
+        let has_proven_healthy = since >= MIN_CONTAINMENT && self.successes_since_crash >= enough;
+        has_proven_healthy || since >= MAX_CONTAINMENT
     }
 
-    /// How many runs without a crash chance hardly explains while the kind still crashes targets as often as before.
+    /// Returns the number of completed runs without a crash that chance is unlikely to produce while the kind still
+    /// crashes targets as often as before.
     ///
-    /// That `times` the mean number of runs between two crashes go by without one has the chance `exp(-times)`, and the
-    /// question is put after each crash. Runs are this entry's own, crashes those of all entries: a mean in own runs is
-    /// held against own runs, whatever this entry's share of the work.
-    fn runs_that_tell(&self) -> u32 {
+    /// The probability that `times` the mean number of runs between two crashes pass without a crash is `exp(-times)`,
+    /// and the question arises again after each crash. Completed runs are those of this entry, while crashes are those
+    /// of all entries. The result does not depend on this entry's share of the work, because both the mean and the
+    /// count that is compared with it are in runs of this entry.
+    fn successes_needed(&self) -> u32 {
         let crashes = f64::from(self.crashes.max(1));
-        let for_each_crash = f64::from(self.done) / crashes;
-        let times = (crashes / RELEASED_BY_CHANCE).ln();
-        (for_each_crash * times).ceil() as u32
+        let successes_per_crash = f64::from(self.successes) / crashes;
+        let times = (crashes / MAX_FALSE_RELEASE).ln();
+        (successes_per_crash * times).ceil() as u32
     }
 }
 
-/// Which kinds of tasks are kept to a part of the targets.
+/// Kinds of tasks that may only run on a share of the targets.
 ///
-/// A kind is contained once one of its tasks is known to crash targets. Each new task of the kind may do so too, and two
-/// targets a job, each gone for seconds, can be more than there are. It is released when it has shown to be sound.
+/// A kind is contained once one of its tasks is confirmed to crash targets. Each new task of the kind may do the same,
+/// and two targets per job, each down for seconds, can exceed the number of targets. The kind is released once it has
+/// proven healthy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Containment {
     kinds: BTreeMap<TaskKind, SuspectKind>,
 }
 
 impl Containment {
-    /// A task of the kind is known to crash targets; returns whether the kind was free before.
+    /// Contains a kind of which a task is confirmed to crash targets. Returns whether the kind was not contained
+    /// before.
     pub(crate) fn contain(
         &mut self,
         now: Moment,
         kind: TaskKind,
-        ran: Duration,
-        part: f64,
+        time_to_crash: Duration,
+        target_share: f64,
     ) -> bool {
         match self.kinds.get_mut(&kind) {
             Some(known) if known.is_contained() => {
-                known.ran = known.ran.max(ran);
+                known.time_to_crash = known.time_to_crash.max(time_to_crash);
                 false
             }
             Some(known) => {
@@ -128,61 +135,64 @@
                 true
             }
             None => {
-                self.kinds.insert(kind, SuspectKind::new(now, ran, part));
+                self.kinds
+                    .insert(kind, SuspectKind::new(now, time_to_crash, target_share));
                 true
             }
         }
     }
 
-    /// Contains a kind as earlier processes had done; returns whether it is news. What this process has seen of the kind says
-    /// more: it may have released it.
+    /// Contains a kind that earlier processes had contained. Returns whether the kind was unknown here; what this
+    /// process has observed takes precedence, since it may have released the kind.
     pub(crate) fn contain_learned(&mut self, now: Moment, learned: &LearnedSuspect) -> bool {
         if self.kinds.contains_key(&learned.kind) {
             return false;
         }
-        let ran = Duration::from_millis(u64::from(learned.crashed_after_ms));
-        let part = f64::from(learned.share_per_mille) / PER_MILLE;
+        let time_to_crash = Duration::from_millis(u64::from(learned.crashed_after_ms));
+        let target_share = f64::from(learned.share_per_mille) / PER_MILLE;
         let suspect = SuspectKind {
-            crashed: learned.crashed_sides.clone(),
-            ..SuspectKind::new(now, ran, part)
+            crashed_sides: learned.crashed_sides.clone(),
+            ..SuspectKind::new(now, time_to_crash, target_share)
         };
         self.kinds.insert(learned.kind, suspect);
         true
     }
 
-    /// When a kind was released; none if it is contained or has never been.
-    pub(crate) fn released(&self, kind: TaskKind) -> Option<Moment> {
-        self.kinds.get(&kind)?.released
+    /// Returns when a kind was released, or `None` if it is contained or has never been.
+    pub(crate) fn released_at(&self, kind: TaskKind) -> Option<Moment> {
+        self.kinds.get(&kind)?.released_at
     }
 
-    /// The kinds that are contained, for those who come after.
+    /// Returns the contained kinds for the stored profile.
     pub(crate) fn learned(&self) -> Vec<LearnedSuspect> {
         let contained = self.kinds.iter().filter(|(_, known)| known.is_contained());
         let learned = contained.map(|(kind, known)| LearnedSuspect {
             kind: *kind,
-            crashed_after_ms: known.ran.as_millis() as u32,
-            share_per_mille: (known.part * PER_MILLE).clamp(1.0, PER_MILLE) as u16,
-            crashed_sides: known.crashed.clone(),
+            crashed_after_ms: known.time_to_crash.as_millis() as u32,
+            share_per_mille: (known.target_share * PER_MILLE).clamp(1.0, PER_MILLE) as u16,
+            crashed_sides: known.crashed_sides.clone(),
         });
         learned.collect()
     }
 
-    /// The crash as far as it says something of tasks: where one of a contained kind ran for as long as others of its kind
-    /// did until their targets crashed, it is the cause, and what else ran there has nothing to do with it.
-    pub(crate) fn blamed(&self, crash: &TargetCrash) -> TargetCrash {
+    /// Returns the crash with only the runs to which it can be attributed. If a task of a contained kind ran for about
+    /// as long as other tasks of the kind until their targets crashed, it is the cause, and the other runs on the
+    /// target are unrelated.
+    pub(crate) fn attributed(&self, crash: &TargetCrash) -> TargetCrash {
         let is_cause = |run: &CrashedRun| {
-            let usual = self.ran(run.kind);
-            run.has_begun && usual.is_some_and(|usual| are_similar_run_times(usual, run.ran()))
+            let expected = self.time_to_crash(run.kind);
+            run.has_begun
+                && expected.is_some_and(|expected| are_similar_run_times(expected, run.ran()))
         };
-        let mut blamed = crash.clone();
+        let mut attributed = crash.clone();
         if !crash.was_silent && crash.runs.iter().any(is_cause) {
-            blamed.runs.retain(is_cause);
+            attributed.runs.retain(is_cause);
         }
-        blamed
+        attributed
     }
 
-    /// Takes in what ran on a target that has crashed; returns the kinds that are contained again.
-    pub(crate) fn note_crash(
+    /// Records a crash and the runs on its target. Returns the released kinds that are contained again.
+    pub(crate) fn record_crash(
         &mut self,
         now: Moment,
         side: &NodeName,
@@ -195,86 +205,87 @@
             if of_kind.peek().is_none() {
                 continue;
             }
-            let ran = known.ran;
-            let is_like = of_kind.any(|run| are_similar_run_times(run.ran(), ran));
-            let is_cause = is_like && !crash.was_silent;
+            let time_to_crash = known.time_to_crash;
+            let is_similar = of_kind.any(|run| are_similar_run_times(run.ran(), time_to_crash));
+            let is_cause = is_similar && !crash.was_silent;
             if known.is_contained() {
-                known.note_crash(now);
+                known.record_crash(now);
             } else if is_cause {
                 known.contain_again(now);
                 again.push(*kind);
             }
             if is_cause {
-                known.note_side(side);
+                known.record_crashed_side(side);
             }
         }
         again
     }
 
-    /// A task of the kind has crashed this side's target.
-    pub(crate) fn note_side(&mut self, kind: TaskKind, side: &NodeName) {
+    /// Records that a task of the kind has crashed the target of a side.
+    pub(crate) fn record_crashed_side(&mut self, kind: TaskKind, side: &NodeName) {
         if let Some(known) = self.kinds.get_mut(&kind) {
-            known.note_side(side);
+            known.record_crashed_side(side);
         }
     }
 
-    /// The sides whose targets tasks of the kind have crashed, in the order of the crashes.
+    /// Returns the sides whose targets tasks of the kind have crashed, in the order of the crashes.
     pub(crate) fn crashed_sides(&self, kind: TaskKind) -> &[NodeName] {
         let known = self.kinds.get(&kind);
-        known.map_or(&[], |known| &known.crashed)
+        known.map_or(&[], |known| &known.crashed_sides)
     }
 
-    /// A run of the kind has done its work.
+    /// Records a completed run of the kind.
     pub(crate) fn record_success(&mut self, kind: TaskKind) {
         if let Some(known) = self
             .kinds
             .get_mut(&kind)
             .filter(|known| known.is_contained())
         {
-            known.done += 1;
-            known.done_since += 1;
+            known.successes += 1;
+            known.successes_since_crash += 1;
         }
     }
 
-    /// Releases the kinds that have shown to be sound, and returns them; forgets those of long ago.
+    /// Releases the kinds that have proven healthy and returns them. Forgets kinds that were released long ago.
     pub(crate) fn release(&mut self, now: Moment) -> Vec<TaskKind> {
         let mut released = Vec::new();
         for (kind, known) in &mut self.kinds {
-            if known.is_contained() && known.is_sound(now) {
-                known.released = Some(now);
+            if known.is_contained() && known.is_healthy(now) {
+                known.released_at = Some(now);
                 released.push(*kind);
             }
         }
-        let is_of_use = |known: &SuspectKind| now.since(known.last_crash) < REMEMBERED;
+        let is_recent = |known: &SuspectKind| now.since(known.last_crash) < RELEASED_KIND_RETENTION;
         self.kinds
-            .retain(|_, known| known.is_contained() || is_of_use(known));
+            .retain(|_, known| known.is_contained() || is_recent(known));
         released
     }
 
-    /// How long a task of a contained kind ran until its target crashed; none if the kind is free.
-    pub(crate) fn ran(&self, kind: TaskKind) -> Option<Duration> {
+    /// Returns how long a task of a contained kind ran until its target crashed, or `None` if the kind is not
+    /// contained.
+    pub(crate) fn time_to_crash(&self, kind: TaskKind) -> Option<Duration> {
         let known = self.kinds.get(&kind);
         known
             .filter(|known| known.is_contained())
-            .map(|known| known.ran)
+            .map(|known| known.time_to_crash)
     }
 
-    /// The kinds that are contained, and their parts of the targets.
+    /// Returns the contained kinds and their shares of the targets.
     pub(crate) fn contained(&self) -> impl Iterator<Item = (TaskKind, f64)> {
         let contained = self.kinds.iter().filter(|(_, known)| known.is_contained());
-        contained.map(|(kind, known)| (*kind, known.part))
+        contained.map(|(kind, known)| (*kind, known.target_share))
     }
 
-    /// Whether no kind is contained.
+    /// Returns whether no kind is contained.
     pub(crate) fn is_empty(&self) -> bool {
         self.contained().next().is_none()
     }
 
-    /// When time alone releases a kind.
+    /// Returns the next time at which a kind is released even if none of its runs complete.
     pub(crate) fn release_due(&self) -> Option<Moment> {
         let contained = self.kinds.values().filter(|known| known.is_contained());
         contained
-            .map(|known| known.last_crash + MOST_CONTAINED)
+            .map(|known| known.last_crash + MAX_CONTAINMENT)
             .min()
     }
 }
--- a/crates/mastknot_core/src/scheduler/demand_forecast.rs
+++ b/crates/mastknot_core/src/scheduler/demand_forecast.rs
@@ -8,32 +8,37 @@
 use super::retry_schedule::RetrySchedule;
 use crate::types::Moment;
 
-/// What comes now: long enough to see some jobs of each queue, short beside a crowd.
-const NOW: Duration = Duration::from_secs(1);
-/// What comes as a rule.
-const USUAL: Duration = Duration::from_secs(20);
+/// Time constant of the current arrival rate: long enough to include some jobs of each queue, and short compared with a
+/// burst.
+const RECENT: Duration = Duration::from_secs(1);
+/// Time constant of the usual arrival rate.
+const LONG_TERM: Duration = Duration::from_secs(20);
 
-/// What an entry has observed for its forecast. It dies with the process and is learned anew within seconds.
+/// Observations of an entry on which its forecast is based. They are not stored; a new process collects them again
+/// within seconds.
 #[derive(Clone, Debug)]
 pub(super) struct DemandForecast {
+    /// Current arrival rates.
     pub(super) recent_arrivals: ArrivalRates,
+    /// Usual arrival rates, without the retries of callers that return on time.
     pub(super) usual_arrivals: ArrivalRates,
     pub(super) obtained: ObtainedCapacity,
+    /// Mean work that waits at this entry.
     pub(super) waiting: MeanWaiting,
     pub(super) placed_mean: PlacedMean,
     pub(super) errors: ForecastErrors,
     pub(super) retries: RetrySchedule,
-    /// When the waiting jobs were last looked at.
+    /// When the waiting jobs were last reviewed.
     pub(super) reviewed_at: Moment,
-    /// A job has come since.
+    /// Whether a job has arrived since the last review.
     pub(super) has_new_job: bool,
 }
 
 impl Default for DemandForecast {
     fn default() -> Self {
         Self {
-            recent_arrivals: ArrivalRates::over(NOW),
-            usual_arrivals: ArrivalRates::over(USUAL),
+            recent_arrivals: ArrivalRates::with_time_constant(RECENT),
+            usual_arrivals: ArrivalRates::with_time_constant(LONG_TERM),
             obtained: ObtainedCapacity::default(),
             waiting: MeanWaiting::default(),
             placed_mean: PlacedMean::default(),
--- a/crates/mastknot_core/src/scheduler/drained_halls.rs
+++ b/crates/mastknot_core/src/scheduler/drained_halls.rs
@@ -1,4 +1,4 @@
-//! Halls that operators have drained: nothing is placed there, and all sides hear of it.
+//! Halls that operators have drained: no task is placed there, and all sides are notified.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::types::Moment;
 
 impl JobScheduler {
-    /// Takes what operators have drained, from their store or from a side; what is older changes nothing.
+    /// Applies the set of drained halls from the operators' store or from a side; an older set is ignored.
     ///
-    /// Each linked side is told at once, on standby too: it turns starts away itself, also those of entries that are
-    /// cut off from the store. What waits is looked at again in this same step.
+    /// Each linked side is notified at once, including those on standby, because it rejects starts itself, even those
+    /// of entries that are disconnected from the store. Waiting jobs are considered again in the same step.
     pub(super) fn update_drained_halls(&mut self, now: Moment, drained: &Arc<DrainedHalls>) {
         if !drained.is_newer_than(&self.drained_halls) {
             return;
@@ -33,18 +33,18 @@
         self.refuse_without_halls(now);
     }
 
-    /// The halls that are drained, as far as it is known here.
+    /// Returns the drained halls that are known to this entry.
     pub fn drained_halls(&self) -> &DrainedHalls {
         &self.drained_halls
     }
 
-    /// Runs of this entry that go on in drained halls.
+    /// Returns the number of this entry's runs that continue in drained halls.
     pub fn runs_in_drained_halls(&self) -> usize {
         let there = self.sides.values().filter(|side| side.is_hall_drained);
         there.map(|side| side.runs.len()).sum()
     }
 
-    /// Whether every linked side stands in a drained hall: until operators return one nothing can run.
+    /// Returns whether every linked side is in a drained hall. Nothing can run then until operators return a hall.
     pub(super) fn are_all_halls_drained(&self) -> bool {
         if self.drained_halls.halls.is_empty() {
             return false;
@@ -53,7 +53,8 @@
         linked.clone().next().is_some() && linked.all(|side: &SideView| side.is_hall_drained)
     }
 
-    /// Refuses all that has not begun once no hall is left: holding it back would only cost its callers time.
+    /// Refuses all jobs that have not started if every hall is drained: keeping them waiting would only cost their
+    /// callers time.
     fn refuse_without_halls(&mut self, now: Moment) {
         if !self.are_all_halls_drained() {
             return;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Refuses a job of which nothing has begun.
+    /// Refuses a job if none of its tasks may have run.
     pub(super) fn refuse_if_not_started(&mut self, now: Moment, id: JobId) {
         let is_new = |job: &ActiveJob| !job.may_have_run();
         if self.jobs.get(&id).is_some_and(is_new) {
--- a/crates/mastknot_core/src/scheduler/forecast.rs
+++ b/crates/mastknot_core/src/scheduler/forecast.rs
@@ -3,98 +3,106 @@
 use super::{KnownLoad, LoadView};
 use crate::job::Capacity;
 
-/// A wait beyond this is not told from one without end: no caller stays for so long.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Longest wait that is forecast. Callers do not wait this long, so a longer wait counts as one without end.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// What a job is forecast by, beside the load.
+/// Input of a job's forecast besides the load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ForecastInput {
-    /// How urgent it is; 0 is the most urgent.
+    /// Urgency of the job; 0 is the most urgent.
     pub rank: u8,
-    /// The room that is taken by what goes before it at its own entry, in thousandths of a core.
+    /// Capacity required by the jobs that come before this one at its own entry, in thousandths of a core.
     pub ahead: u64,
-    /// The room that its own waiting tasks take, in thousandths of a core.
+    /// Capacity required by the job's own waiting tasks, in thousandths of a core.
     pub required_capacity: u64,
-    /// How long tasks run that were placed of late: so long the room that comes free has been held.
+    /// Mean run time of the tasks that were placed recently, which is how long capacity is held before it becomes free.
     pub held_for: Duration,
-    /// The room that the smallest of its waiting tasks takes.
+    /// Capacity required by the smallest waiting task of the job.
     pub smallest: Capacity,
-    /// More urgent work that is expected to arrive at its entry, in thousandths of a core.
+    /// Rate at which more urgent work is expected to arrive at the job's entry, in thousandths of a core.
     pub arriving_rate: f64,
-    /// What the entry has got of the room that it was said to get, as a ratio.
+    /// Ratio of the capacity that the entry has obtained to the capacity that it was expected to obtain.
     pub obtained_ratio: f64,
 }
 
-/// When a job would find room for all of its waiting tasks, from what is observed.
+/// Forecast of when a job finds capacity for all of its waiting tasks, based on observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Forecast {
-    /// The wait; none if the room that comes free goes to more urgent work.
+    /// Expected wait, or `None` if capacity that becomes free goes to more urgent work or the wait is too long to be
+    /// forecast.
     pub wait: Option<Duration>,
-    /// The work that comes free for it and what is ahead of it, in thousandths of a core.
+    /// Rate of the work that is done for the job and for those ahead of it, in thousandths of a core.
     pub rate: f64,
 }
 
 impl Forecast {
-    /// The wait is the room to be found until then, its own included, over the rate at which room comes free for it: what
-    /// targets do in a time, over how long their tasks hold room.
+    /// Computes the forecast of a job.
     ///
-    /// What arrives meanwhile and is more urgent takes its part of that rate, at the other entries as well as here.
+    /// The wait is the capacity that is required until then, including that of the job itself, divided by the rate at
+    /// which capacity becomes free for it. That rate is the rate of the work that the targets do for the entry, divided
+    /// by how long tasks hold their capacity.
+    ///
+    /// More urgent work that arrives in the meantime takes its part of that rate, at the other entries as well as at
+    /// this one.
     pub fn of(view: &LoadView, input: &ForecastInput) -> Self {
-        let left = 1.0 - input.arriving_rate / view.even_rate();
+        let left = 1.0 - input.arriving_rate / view.equal_share_rate();
         let rate = view.rate(input.rank) * input.obtained_ratio * left;
         if input.ahead == 0 && view.has_capacity_for(&input.smallest) {
             let wait = Some(Duration::ZERO);
             return Self { wait, rate };
         }
-        let room = (input.ahead + input.required_capacity) as f64;
-        let wait = time_for(room, rate, input.held_for);
+        let needed = (input.ahead + input.required_capacity) as f64;
+        let wait = time_to_free(needed, rate, input.held_for);
         Self { wait, rate }
     }
 }
 
 impl LoadView {
-    /// Whether anything is known of the room: without a side nothing can be forecast.
+    /// Returns whether the capacity of any target is known. Nothing can be forecast without a side.
     pub fn is_known(&self) -> bool {
         self.sides.iter().any(|side| side.capacity.cpu_millis > 0)
     }
 
-    /// Whether a target is believed to have room for a task.
+    /// Returns whether a target is assumed to have enough free capacity for a task.
     pub fn has_capacity_for(&self, task: &Capacity) -> bool {
         self.sides.iter().any(|side| side.free.covers(task))
     }
 
-    /// The work that waits at the entry itself and is at least as urgent, in thousandths of a core times milliseconds.
+    /// Returns the work that waits at the entry itself with this rank or a more urgent one, in thousandths of a core
+    /// times milliseconds.
     pub fn own_work(&self, rank: u8) -> u64 {
         let own = self.own.iter().filter(|work| work.rank <= rank);
         own.map(|work| work.cpu_millis_ms).sum()
     }
 
-    /// What the entry gets of the targets for its own work of this rank and more urgent, in thousandths of a core.
+    /// Returns the rate at which targets do the entry's own work of this rank or a more urgent one, in thousandths of a
+    /// core.
     ///
-    /// Each target's room goes to the entries that wait for it in proportion to their work, as an entry tells the same need
-    /// to each side that it uses.
+    /// The capacity of each target is divided among the entries that wait for it in proportion to their work, because
+    /// an entry reports the same need to each side that it uses.
     pub fn rate(&self, rank: u8) -> f64 {
         let own = self.own_work(rank) as f64;
-        let parts = self.sides.iter().map(|side| {
-            let told = side.load.waiting.iter().filter(|work| work.rank <= rank);
-            let told: u64 = told.map(|work| work.cpu_millis_ms).sum();
-            // A report may be older than what waits here.
-            let waiting = (told as f64).max(own);
+        let rates = self.sides.iter().map(|side| {
+            let reported = side.load.waiting.iter().filter(|work| work.rank <= rank);
+            let reported: u64 = reported.map(|work| work.cpu_millis_ms).sum();
+            // A report may be older than the work that waits here.
+            let waiting = (reported as f64).max(own);
             let capacity = side.rate();
             match waiting > 0.0 {
                 true => capacity * own / waiting,
-                false => side.even_rate(),
+                false => side.equal_share_rate(),
             }
         });
-        parts.sum()
+        rates.sum()
     }
 
-    /// What the entry gets of the targets if all entries that use them ask alike, in thousandths of a core.
-    pub fn even_rate(&self) -> f64 {
-        self.sides.iter().map(KnownLoad::even_rate).sum()
+    /// Returns the rate at which targets do work for the entry if all entries that use them have the same need, in
+    /// thousandths of a core.
+    pub fn equal_share_rate(&self) -> f64 {
+        self.sides.iter().map(KnownLoad::equal_share_rate).sum()
     }
 
-    /// The age of the oldest report that counts.
+    /// Returns the age of the oldest report in the view.
     pub fn max_report_age(&self) -> Duration {
         let ages = self.sides.iter().map(|side| side.age);
         ages.max().unwrap_or_default()
@@ -102,22 +110,22 @@
 }
 
 impl KnownLoad {
-    /// What its target does, in thousandths of a core of usual speed.
+    /// Returns the rate of the work that the target does, in thousandths of a core of mean speed.
     fn rate(&self) -> f64 {
         f64::from(self.capacity.cpu_millis) / self.slowdown
     }
 
-    fn even_rate(&self) -> f64 {
+    fn equal_share_rate(&self) -> f64 {
         self.rate() / f64::from(self.load.entries.max(1))
     }
 }
 
-/// How long it takes until so much room has come free; none if that is beyond any caller's time.
-fn time_for(room: f64, rate: f64, held_for: Duration) -> Option<Duration> {
+/// Returns the time until the needed capacity has become free, or `None` if it exceeds [`MAX_WAIT`].
+fn time_to_free(needed: f64, rate: f64, held_for: Duration) -> Option<Duration> {
     if rate <= 0.0 {
         return None;
     }
-    let seconds = room / rate * held_for.as_secs_f64();
-    let is_bounded = seconds <= LONGEST_WAIT.as_secs_f64();
+    let seconds = needed / rate * held_for.as_secs_f64();
+    let is_bounded = seconds <= MAX_WAIT.as_secs_f64();
     is_bounded.then(|| Duration::from_secs_f64(seconds))
 }
--- a/crates/mastknot_core/src/scheduler/gang_starts.rs
+++ b/crates/mastknot_core/src/scheduler/gang_starts.rs
@@ -1,6 +1,6 @@
-//! Jobs with time left begin with all their tasks, or wait.
+//! Gang starts: jobs with enough time left start with all their tasks at once, or wait.
 //!
-//! A job that begins with a few of them is finished before others that have less time.
+//! A job that starts with only some of its tasks is finished before jobs that have less time.
 
 use std::time::Duration;
 
@@ -11,28 +11,29 @@
 use crate::job::{Capacity, JobId};
 use crate::types::Moment;
 
-/// A job that can wait for less begins with what there is: room for all at once may not come in its time.
-const TIME_TO_SPARE: Duration = Duration::from_millis(400);
-/// A queue that has lost more than this share of its jobs of late waits no more.
-const MOST_LOST: f64 = 0.5;
+/// Minimum slack of a job that waits for a gang start. With less slack, capacity for all tasks may not become free in
+/// time, so the job starts with what is available.
+const MIN_SLACK: Duration = Duration::from_millis(400);
+/// Share of recently lost jobs above which jobs of a queue do not wait for a gang start.
+const MAX_LOST_SHARE: f64 = 0.5;
 
 impl JobScheduler {
-    /// Until when a job waits for room for all its tasks; none if it begins with what there is.
+    /// Returns until when a job waits for capacity for all its tasks, or `None` if it starts with what is available.
     ///
-    /// Where room is granted it comes in small pieces, and the queues' priorities decide.
+    /// Jobs do not wait if sides grant capacity: grants come in small pieces, and the priorities of the queues decide.
     pub(super) fn waits_for_gang_until(&self, now: Moment, id: JobId) -> Option<Moment> {
         let job = self.jobs.get(&id)?;
-        let turn = job.stops_yielding_at();
+        let wait_end = job.stops_yielding_at();
         let may_wait = !self.uses_capacity_grants()
             && job.is_in_time()
             && !job.may_have_begun()
-            && job.times.slack > TIME_TO_SPARE
-            && now < turn
-            && self.yielding.lost_share(now, &job.policy.name) <= MOST_LOST;
-        (may_wait && self.is_plain(job) && self.could_hold(now, job)).then_some(turn)
+            && job.times.slack > MIN_SLACK
+            && now < wait_end
+            && self.yielding.lost_share(now, &job.policy.name) <= MAX_LOST_SHARE;
+        (may_wait && self.has_uniform_tasks(job) && self.could_fit(now, job)).then_some(wait_end)
     }
 
-    /// Whether all tasks of a job find room now.
+    /// Returns whether there is free capacity for all tasks of a job now.
     pub(super) fn fits_gang(&self, now: Moment, id: JobId, candidates: &[Candidate]) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return true;
@@ -41,22 +42,23 @@
             let side = &self.sides[candidate.side_index];
             (side, side.free(), candidate.is_slow)
         });
-        self.holds_all(now, job, sides)
+        self.fits_all_tasks(now, job, sides)
     }
 
-    /// Whether the targets that take work could hold all tasks of a job if they were idle.
-    fn could_hold(&self, now: Moment, job: &ActiveJob) -> bool {
+    /// Returns whether the targets that accept work could run all tasks of a job at once if they were idle.
+    fn could_fit(&self, now: Moment, job: &ActiveJob) -> bool {
         let sides = self.sides.values().filter(|side| side.takes_work());
         let sides = sides.map(|side| {
             let target = side.target.as_ref();
-            let whole = target.map(|target| target.capacity).unwrap_or_default();
-            (side, whole, false)
+            let total = target.map(|target| target.capacity).unwrap_or_default();
+            (side, total, false)
         });
-        self.holds_all(now, job, sides)
+        self.fits_all_tasks(now, job, sides)
     }
 
-    /// Whether these sides, each with its room and whether it is only tried, hold all waiting tasks of a job.
-    fn holds_all<'a>(
+    /// Returns whether these sides have capacity for all waiting tasks of a job. Each side comes with its capacity and
+    /// whether it gets a single task as a try.
+    fn fits_all_tasks<'a>(
         &self,
         now: Moment,
         job: &ActiveJob,
@@ -71,21 +73,22 @@
             0 => usize::MAX,
             most => usize::from(most),
         };
-        for (side, room, is_tried) in sides {
+        for (side, capacity, is_tried) in sides {
             if left == 0 {
                 break;
             }
             let is_open =
                 may_run(job, task, side) && self.is_allowed_by_isolation(now, job, task, side);
             let most = if is_tried { 1 } else { most };
-            let places = (room.count_of(&step.required_capacity) as usize).min(most);
-            left = left.saturating_sub(if is_open { places } else { 0 });
+            let slots = (capacity.count_of(&step.required_capacity) as usize).min(most);
+            left = left.saturating_sub(if is_open { slots } else { 0 });
         }
         left == 0
     }
 
-    /// Whether a job's waiting tasks are alike, and none of them is a suspect that is tried by itself.
-    fn is_plain(&self, job: &ActiveJob) -> bool {
+    /// Returns whether the waiting tasks of a job all belong to one step and none of them is a suspect that is isolated
+    /// by itself.
+    fn has_uniform_tasks(&self, job: &ActiveJob) -> bool {
         let waiting = job.waiting_tasks();
         let step = |task: &usize| job.tasks[*task].name.step;
         let first = waiting.first().map(step);
--- a/crates/mastknot_core/src/scheduler/job_forecast.rs
+++ b/crates/mastknot_core/src/scheduler/job_forecast.rs
@@ -3,37 +3,38 @@
 use super::admission::REVIEW_INTERVAL;
 use crate::types::Moment;
 
-/// What was forecast of a job when it began to wait.
+/// Forecast of a job's wait, and when it was made.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ForecastWait {
     pub(crate) at: Moment,
     pub(crate) wait: Duration,
 }
 
-/// What an entry has told itself of a waiting job.
+/// State of the forecast of a waiting job.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobForecast {
-    /// Whether it was looked at.
+    /// Whether the job has been reviewed at least once.
     pub(crate) is_reviewed: bool,
-    /// Since when each look has denied it.
-    doubted: Option<Moment>,
-    /// The first forecast, until it is compared with what came.
+    /// Since when every review has denied the job.
+    denied_since: Option<Moment>,
+    /// Forecast of the first review, kept until it is compared with the actual wait.
     pub(crate) first_forecast: Option<ForecastWait>,
-    /// The forecast by which it was refused.
+    /// Forecast wait with which the job was refused.
     pub(crate) refused_wait: Option<Duration>,
-    /// Its caller has come back when it was told to.
+    /// Whether the job's caller has submitted it again at the time that it was given.
     pub(crate) has_returned_on_time: bool,
 }
 
 impl JobForecast {
-    /// Notes whether a look has denied the job.
+    /// Records whether a review has denied the job.
     pub(crate) fn record_review(&mut self, now: Moment, is_denied: bool) {
-        self.doubted = is_denied.then(|| self.doubted.unwrap_or(now));
+        self.denied_since = is_denied.then(|| self.denied_since.unwrap_or(now));
     }
 
-    /// Whether a look before this one has denied it, and all since; looks at other jobs' arrivals come too soon to tell more.
+    /// Returns whether the job has been denied since an earlier review. Reviews that the arrival of other jobs triggers
+    /// within [`REVIEW_INTERVAL`] come too soon to add evidence.
     pub(crate) fn was_denied_before(&self, now: Moment) -> bool {
-        self.doubted
+        self.denied_since
             .is_some_and(|since| now >= since + REVIEW_INTERVAL)
     }
 }
--- a/crates/mastknot_core/src/scheduler/learned.rs
+++ b/crates/mastknot_core/src/scheduler/learned.rs
@@ -1,4 +1,4 @@
-//! What outlasts the process: what it has learned, and what others had.
+//! Stored profile: values that this process has learned, and values that other processes learned earlier.
 
 use super::SchedulerDecision;
 use super::job_scheduler::JobScheduler;
@@ -7,7 +7,8 @@
 use crate::types::{Moment, WallTime, stable_hash};
 
 impl JobScheduler {
-    /// What it believes now; without ranked queues it has no paces of its own to tell, and passes on what it has read.
+    /// Returns the values to store. An entry without ranked queues has no slowdowns and run times of its own and passes
+    /// on those that it has read.
     pub fn learned(&self) -> LearnedProfile {
         let suspects = self.containment.learned();
         if !self.priors.has_ranked_queue {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// What it would write now, if something in it is worth it.
+    /// Returns the profile that this entry would write, or `None` if it holds nothing that justifies a write.
     pub fn profile_offer(
         &self,
         known: Option<&LearnedProfile>,
@@ -37,17 +38,17 @@
             written_ms: wall.as_millis(),
             ..self.learned()
         };
-        let news = profile_update(known, &profile, self.priors.has_ranked_queue)?;
-        let place = self.writer_place();
+        let update = profile_update(known, &profile, self.priors.has_ranked_queue)?;
+        let writer_rank = self.writer_rank();
         Some(ProfileOffer {
             profile,
-            update: news,
-            writer_rank: place,
+            update,
+            writer_rank,
         })
     }
 
-    /// Its place among the listed entries in the order in which they write.
-    fn writer_place(&self) -> usize {
+    /// Returns the position of this entry among the listed entries in the order in which they write.
+    fn writer_rank(&self) -> usize {
         let own = &self.settings.entry;
         let own_rank = (stable_hash(&[own]), own);
         let others = self.entries.iter().map(|entry| &entry.name);
@@ -55,7 +56,8 @@
         ranks.filter(|rank| *rank < own_rank).count()
     }
 
-    /// Takes what was read. Suspects count at once, whatever queues there are: finding them again costs targets.
+    /// Applies a profile that was read. Suspects take effect at once, even without ranked queues, because detecting
+    /// them again would cost targets.
     pub(super) fn apply_learned(&mut self, now: Moment, profile: &LearnedProfile, wall: WallTime) {
         if !self.settings.scarcity.profile {
             return;
@@ -74,28 +76,28 @@
             ..aged
         };
         if self.priors.has_ranked_queue {
-            self.use_waiting_beliefs();
+            self.apply_pending_priors();
         }
     }
 
-    /// A job has come to a ranked queue: what others have learned of paces is of use.
+    /// Activates the slowdowns and run times that others have learned, once a job has come to a ranked queue.
     pub(super) fn activate_priors(&mut self) {
         if !self.priors.has_ranked_queue {
             self.priors.has_ranked_queue = true;
-            self.use_waiting_beliefs();
+            self.apply_pending_priors();
         }
     }
 
-    fn use_waiting_beliefs(&mut self) {
-        let waiting = std::mem::take(&mut self.priors.pending);
-        for times in &waiting.run_times {
-            self.run_times.believe(times);
+    fn apply_pending_priors(&mut self) {
+        let pending = std::mem::take(&mut self.priors.pending);
+        for times in &pending.run_times {
+            self.run_times.merge_prior(times);
         }
-        for pace in &waiting.slowdowns {
-            self.class_slowdowns.believe(pace);
+        for slowdown in &pending.slowdowns {
+            self.class_slowdowns.merge_prior(slowdown);
         }
-        if !waiting.slowdowns.is_empty() {
-            self.work_out_paces();
+        if !pending.slowdowns.is_empty() {
+            self.update_slowdowns();
         }
     }
 }
--- a/crates/mastknot_core/src/scheduler/learned_priors.rs
+++ b/crates/mastknot_core/src/scheduler/learned_priors.rs
@@ -1,13 +1,13 @@
 use crate::job::LearnedProfile;
 
-/// What other processes have learned, as far as it is not used yet.
+/// Values that other processes have learned and that are not used yet.
 ///
-/// Whether queues are ranked is known with the first job. Until then paces wait here, so that those of a deployment without
-/// ranked queues stay what its own runs say.
+/// Whether queues are ranked is known only with the first job. Until then the values are pending, so that a deployment
+/// without ranked queues uses only what its own runs show.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LearnedPriors {
-    /// Whether a ranked queue has been seen.
+    /// Whether a job has come to a ranked queue.
     pub(crate) has_ranked_queue: bool,
-    /// Paces and run times that wait.
+    /// Slowdowns and run times that are not used yet.
     pub(crate) pending: LearnedProfile,
 }
--- a/crates/mastknot_core/src/scheduler/load_view.rs
+++ b/crates/mastknot_core/src/scheduler/load_view.rs
@@ -3,30 +3,30 @@
 use crate::job::{Capacity, RankedWork, SideLoad};
 use crate::types::{Hall, NodeName};
 
-/// What an entry knows of the load: admission, return times and operators' views read it.
+/// Load as known to an entry, for admission, retry times and the views of operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadView {
-    /// The sides that the entry uses for starts.
+    /// Sides that the entry uses for starts.
     pub sides: Vec<KnownLoad>,
-    /// What waits at the entry itself, the most urgent first.
+    /// Work that waits at the entry itself, the most urgent first.
     pub own: Vec<RankedWork>,
 }
 
-/// What an entry knows of the load at one side.
+/// Load at one side as known to an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownLoad {
-    /// The side.
+    /// Name of the side.
     pub side: NodeName,
-    /// Its hall.
+    /// Hall of the side.
     pub hall: Hall,
-    /// What its target has in all.
+    /// Total capacity of the side's target.
     pub capacity: Capacity,
-    /// How long work takes there against the middle of all targets: 2 for half as fast.
+    /// Time that work takes at the target relative to the mean of all targets: 2 means half as fast.
     pub slowdown: f64,
-    /// The room that is believed to be free for this entry.
+    /// Capacity that is assumed to be free for this entry.
     pub free: Capacity,
-    /// What waits there.
+    /// Work that waits at the side.
     pub load: SideLoad,
-    /// The age of what is known.
+    /// Age of the information.
     pub age: Duration,
 }
--- a/crates/mastknot_core/src/scheduler/mean_waiting.rs
+++ b/crates/mastknot_core/src/scheduler/mean_waiting.rs
@@ -4,33 +4,33 @@
 use crate::job::RankedWork;
 use crate::types::Moment;
 
-/// What is older than this counts little: crowds come and go.
-const OVER: Duration = Duration::from_millis(200);
-/// Less than this is nothing, in thousandths of a core times milliseconds.
-const NOTHING: f64 = 1.0;
+/// Time constant of the decay, short because bursts come and go.
+const TIME_CONSTANT: Duration = Duration::from_millis(200);
+/// Mean below which a rank is dropped, in thousandths of a core times milliseconds.
+const NEGLIGIBLE: f64 = 1.0;
 
-/// What has waited at an entry on the mean, by rank.
+/// Mean work that has waited at an entry per rank, as an exponentially decaying average.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MeanWaiting {
-    at: Moment,
-    ranks: BTreeMap<u8, f64>,
+    updated_at: Moment,
+    means: BTreeMap<u8, f64>,
 }
 
 impl MeanWaiting {
-    /// What waits now.
+    /// Records the work that waits now.
     pub(crate) fn record(&mut self, now: Moment, waiting: &[RankedWork]) {
-        let passed = now.since(self.at);
-        self.at = now;
-        let left = (-passed.as_secs_f64() / OVER.as_secs_f64()).exp();
-        self.ranks.values_mut().for_each(|mean| *mean *= left);
+        let passed = now.since(self.updated_at);
+        self.updated_at = now;
+        let decay = (-passed.as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp();
+        self.means.values_mut().for_each(|mean| *mean *= decay);
         for work in waiting {
-            *self.ranks.entry(work.rank).or_default() += work.cpu_millis_ms as f64 * (1.0 - left);
+            *self.means.entry(work.rank).or_default() += work.cpu_millis_ms as f64 * (1.0 - decay);
         }
-        self.ranks.retain(|_, mean| *mean >= NOTHING);
+        self.means.retain(|_, mean| *mean >= NEGLIGIBLE);
     }
 
-    /// The mean by rank, the most urgent first.
+    /// Returns the mean work of each rank, in thousandths of a core times milliseconds, the most urgent rank first.
     pub(crate) fn by_rank(&self) -> impl Iterator<Item = (u8, f64)> {
-        self.ranks.iter().map(|(rank, mean)| (*rank, *mean))
+        self.means.iter().map(|(rank, mean)| (*rank, *mean))
     }
 }
--- a/crates/mastknot_core/src/scheduler/observed_load.rs
+++ b/crates/mastknot_core/src/scheduler/observed_load.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the load, put together.
+//! Views of the load, composed from what an entry knows.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 use crate::job::{Capacity, RankedWork, SideLoad};
 use crate::types::Moment;
 
-/// The most waiting jobs whose work is summed up: heartbeats do so some times a second.
-const MOST_SUMMED: usize = 256;
+/// Maximum number of waiting jobs whose work is summed up, as this happens for heartbeats several times a second.
+const MAX_JOBS_SUMMED: usize = 256;
 
 impl JobScheduler {
-    /// What is known of the load: for admission, return times and operators.
+    /// Returns the load as known to this entry, for admission, retry times and operators.
     pub fn load_view(&self, now: Moment) -> LoadView {
         self.load_view_where(now, |_| true)
     }
 
-    /// The same for the sides that are wanted.
+    /// Returns the load at the sides for which `is_used` holds.
     pub(super) fn load_view_where(
         &self,
         now: Moment,
         is_used: impl Fn(&SideView) -> bool,
     ) -> LoadView {
         let own = self.own_waiting_work();
-        let untold = self.untold_load(&own);
+        let assumed = self.assumed_load(&own);
         let sides = self.sides.iter();
         let used = sides.filter(|(_, side)| side.takes_work() && is_used(side));
         let known = used.map(|(name, side)| KnownLoad {
@@ -38,11 +38,11 @@
                 .map_or(Capacity::default(), |it| it.capacity),
             slowdown: self.slowdown_at(side),
             free: side.free(),
-            load: side_load(side, &untold),
+            load: side_load(side, &assumed),
             age: now.since(
                 side.load
                     .as_ref()
-                    .map_or(side.last_received_at, |(_, told)| *told),
+                    .map_or(side.last_received_at, |(_, reported)| *reported),
             ),
         });
         LoadView {
@@ -51,21 +51,21 @@
         }
     }
 
-    /// What waits here by rank, the most urgent first.
+    /// Returns the work that waits at this entry by rank, the most urgent first.
     pub(super) fn own_waiting_work(&self) -> Vec<RankedWork> {
         let mut ranks: BTreeMap<u8, u64> = BTreeMap::new();
         let free = self.waiting.range(..OrderKey::FIRST_CONTAINED);
-        for (key, id) in free.take(MOST_SUMMED) {
+        for (key, id) in free.take(MAX_JOBS_SUMMED) {
             let work = self.jobs.get(id).map_or(0, ActiveJob::waiting_work);
             let sum = ranks.entry(key.rank()).or_default();
             *sum = sum.saturating_add(work);
         }
-        ranked(ranks)
+        ranked_work(ranks)
     }
 
-    /// What waits at a side if all entries are alike.
-    fn untold_load(&self, own: &[RankedWork]) -> SideLoad {
-        let entries = self.entries_sharing();
+    /// Returns the work that waits at a side under the assumption that all entries have the same load as this one.
+    fn assumed_load(&self, own: &[RankedWork]) -> SideLoad {
+        let entries = self.entries_per_side();
         let others = f64::from(entries - 1);
         let mut ranks: BTreeMap<u8, u64> = BTreeMap::new();
         for (rank, mean) in self.demand.waiting.by_rank() {
@@ -75,14 +75,15 @@
             *ranks.entry(work.rank).or_default() += work.cpu_millis_ms;
         }
         SideLoad {
-            waiting: ranked(ranks),
+            waiting: ranked_work(ranks),
             entries,
             free_capacity_in_ms: 0,
         }
     }
 
-    /// How many entries use a side on the mean, if all of them use as many as this one.
-    fn entries_sharing(&self) -> u16 {
+    /// Returns the mean number of entries that use a side, under the assumption that all entries use as many sides as
+    /// this one.
+    fn entries_per_side(&self) -> u16 {
         let linked = self.sides.values().filter(|side| side.session.is_some());
         let used = self.sides.values().filter(|side| side.takes_work()).count();
         let all = self.entries.len().max(1) * used;
@@ -90,14 +91,14 @@
     }
 }
 
-/// What is known to wait at a side. One that has not told is taken to serve, for each other entry, what has waited here on
-/// the mean.
-fn side_load(side: &SideView, untold: &SideLoad) -> SideLoad {
-    let told = side.load.as_ref().map(|(load, _)| load);
-    told.unwrap_or(untold).clone()
+/// Returns the work that waits at a side. If the side has not reported any, each other entry is assumed to have as much
+/// work waiting there as has waited here on average.
+fn side_load(side: &SideView, assumed: &SideLoad) -> SideLoad {
+    let reported = side.load.as_ref().map(|(load, _)| load);
+    reported.unwrap_or(assumed).clone()
 }
 
-fn ranked(ranks: BTreeMap<u8, u64>) -> Vec<RankedWork> {
+fn ranked_work(ranks: BTreeMap<u8, u64>) -> Vec<RankedWork> {
     let ranks = ranks.into_iter();
     let ranks = ranks.map(|(rank, cpu_millis_ms)| RankedWork {
         rank,
@@ -106,7 +107,7 @@
     RankedWork::limit_ranks(ranks.collect())
 }
 
-/// Whether a side's target is one of a service.
+/// Returns a filter for sides whose targets belong to a service.
 pub(super) fn serves(service: &Arc<str>) -> impl Fn(&SideView) -> bool {
     move |side| {
         let target = side.target.as_ref();
--- a/crates/mastknot_core/src/scheduler/obtained_capacity.rs
+++ b/crates/mastknot_core/src/scheduler/obtained_capacity.rs
@@ -2,70 +2,73 @@
 
 use crate::types::Moment;
 
-/// What is older than this counts little: targets are full of other work by then.
-const OVER: Duration = Duration::from_millis(500);
-/// What was said counts as seen for so long, before more is known.
-const BELIEVED_FOR: Duration = Duration::from_millis(100);
-/// Targets are packed to this part at least, whatever the tasks: less than it only shows that too little waited to take all
-/// of the room.
-const LEAST: f64 = 0.7;
-/// Guesses of run times are off by no more than this as a rule.
-const MOST: f64 = 1.5;
+/// Time constant of the decay. Older observations say little, because targets are filled with other work by then.
+const TIME_CONSTANT: Duration = Duration::from_millis(500);
+/// Time for which the expected rate counts as obtained as long as little has been observed.
+const PRIOR_TIME: Duration = Duration::from_millis(100);
+/// Lower bound of the ratio. Targets can always be filled to this share, whatever the tasks; a lower ratio only shows
+/// that too little work waited to use all of the capacity.
+const MIN_RATIO: f64 = 0.7;
+/// Upper bound of the ratio, as estimates of run times are rarely wrong by more.
+const MAX_RATIO: f64 = 1.5;
 
-/// What an entry has got of the room that it was said to get while its tasks waited.
+/// Work that an entry has placed while its tasks waited, compared with the work that it was expected to place.
 ///
-/// It takes in what the load does not tell: packing, room held by long tasks, needs that reports are late with.
+/// The ratio covers effects that the reported load does not show: gaps in the use of targets, capacity held by long
+/// tasks, and needs that are reported late.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ObtainedCapacity {
-    at: Moment,
-    /// What it is said to get now, in thousandths of a core; none while nothing waits.
-    said_rate: Option<f64>,
-    /// Faded sums, in thousandths of a core times milliseconds.
-    said: f64,
-    had: f64,
+    updated_at: Moment,
+    /// Rate that the entry is expected to obtain now, in thousandths of a core, or `None` while no task waits.
+    expected_rate: Option<f64>,
+    /// Decayed sum of the expected work, in thousandths of a core times milliseconds.
+    expected_work: f64,
+    /// Decayed sum of the placed work, in thousandths of a core times milliseconds.
+    obtained_work: f64,
 }
 
 impl ObtainedCapacity {
-    /// What the entry is said to get from now on; none while nothing waits.
+    /// Sets the rate that the entry is expected to obtain from now on, in thousandths of a core, or `None` while no
+    /// task waits.
     pub(crate) fn set_expected_rate(&mut self, now: Moment, rate: Option<f64>) {
         self.advance(now);
-        self.said_rate = rate;
+        self.expected_rate = rate;
     }
 
-    /// Work was placed.
+    /// Records placed work.
     pub(crate) fn record(&mut self, work: u64) {
-        if self.said_rate.is_some() {
-            self.had += work as f64;
+        if self.expected_rate.is_some() {
+            self.obtained_work += work as f64;
         }
     }
 
-    /// Placed work was turned away.
+    /// Subtracts placed work that was rejected by its side.
     pub(crate) fn subtract(&mut self, work: u64) {
-        if self.said_rate.is_some() {
-            self.had = (self.had - work as f64).max(0.0);
+        if self.expected_rate.is_some() {
+            self.obtained_work = (self.obtained_work - work as f64).max(0.0);
         }
     }
 
-    /// What was got, against what was said.
+    /// Returns the ratio of obtained to expected work, within [`MIN_RATIO`] and [`MAX_RATIO`].
     pub(crate) fn ratio(&self) -> f64 {
-        let believed = self.said_rate.unwrap_or_default() * millis(BELIEVED_FOR);
-        let said = self.said + believed;
-        match said > 0.0 {
-            true => ((self.had + believed) / said).clamp(LEAST, MOST),
+        let prior = self.expected_rate.unwrap_or_default() * millis(PRIOR_TIME);
+        let expected_work = self.expected_work + prior;
+        match expected_work > 0.0 {
+            true => ((self.obtained_work + prior) / expected_work).clamp(MIN_RATIO, MAX_RATIO),
             false => 1.0,
         }
     }
 
     fn advance(&mut self, now: Moment) {
-        let passed = now.since(self.at);
-        self.at = now;
-        // Pauses without waiting tasks tell nothing, so nothing fades in them.
-        let Some(rate) = self.said_rate else {
+        let passed = now.since(self.updated_at);
+        self.updated_at = now;
+        // Periods without waiting tasks show nothing, so nothing decays during them.
+        let Some(rate) = self.expected_rate else {
             return;
         };
-        let left = (-passed.as_secs_f64() / OVER.as_secs_f64()).exp();
-        self.said = self.said * left + rate * millis(passed);
-        self.had *= left;
+        let decay = (-passed.as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp();
+        self.expected_work = self.expected_work * decay + rate * millis(passed);
+        self.obtained_work *= decay;
     }
 }
 
--- a/crates/mastknot_core/src/scheduler/placed_mean.rs
+++ b/crates/mastknot_core/src/scheduler/placed_mean.rs
@@ -1,30 +1,31 @@
 use std::time::Duration;
 
-/// The weight of a new task against the mean so far: some tenths of a second at a busy entry.
+/// Weight of a new task in the running mean, which then covers some tenths of a second at a busy entry.
 const WEIGHT: f64 = 1.0 / 256.0;
 
-/// How long the tasks run that were placed of late, weighted by the room that they take.
+/// Mean run time of recently placed tasks, weighted by the capacity that they use.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PlacedMean {
     tasks: u32,
-    /// Means by task: thousandths of a core, and these times milliseconds.
-    room: f64,
-    work: f64,
+    /// Mean processor capacity per task, in thousandths of a core.
+    mean_cpu_millis: f64,
+    /// Mean work per task, in thousandths of a core times milliseconds.
+    mean_work: f64,
 }
 
 impl PlacedMean {
-    /// A task was placed that takes this room, in thousandths of a core, and is expected to do this work, in thousandths of
-    /// a core times milliseconds.
+    /// Records a placed task. `cpu_millis` is the processor capacity that it uses, in thousandths of a core, and `work`
+    /// the work that it is expected to do, in thousandths of a core times milliseconds.
     pub(crate) fn record(&mut self, cpu_millis: u32, work: u64) {
         self.tasks = self.tasks.saturating_add(1);
         let weight = WEIGHT.max(1.0 / f64::from(self.tasks));
-        self.room += (f64::from(cpu_millis) - self.room) * weight;
-        self.work += (work as f64 - self.work) * weight;
+        self.mean_cpu_millis += (f64::from(cpu_millis) - self.mean_cpu_millis) * weight;
+        self.mean_work += (work as f64 - self.mean_work) * weight;
     }
 
-    /// The mean time; none before anything was placed.
+    /// Returns the mean run time, or `None` before any task was placed.
     pub(crate) fn mean_run_time(&self) -> Option<Duration> {
-        let is_known = self.room > 0.0;
-        is_known.then(|| Duration::from_secs_f64(self.work / self.room / 1_000.0))
+        let is_known = self.mean_cpu_millis > 0.0;
+        is_known.then(|| Duration::from_secs_f64(self.mean_work / self.mean_cpu_millis / 1_000.0))
     }
 }
--- a/crates/mastknot_core/src/scheduler/retry_schedule.rs
+++ b/crates/mastknot_core/src/scheduler/retry_schedule.rs
@@ -4,29 +4,32 @@
 use crate::job::JobId;
 use crate::types::Moment;
 
-/// Callers count in whole seconds, so nobody comes back sooner.
+/// Minimum time until a refused caller is asked to retry, as callers count in whole seconds.
 pub const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Callers that wait for longer than this have gone elsewhere, and no forecast reaches so far.
+/// Maximum time until a refused caller is asked to retry. Callers that would have to wait longer have gone elsewhere,
+/// and forecasts do not reach further.
 pub const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// A caller that counts in whole seconds comes back up to half of one early or late, and this much more for its way.
-const KEPT_WITHIN: Duration = Duration::from_millis(600);
-/// The most callers that are remembered; beyond it the first to return are forgotten.
-const MOST_KEPT: usize = 4_096;
+/// Deviation from the scheduled time at which a retry still counts as on time. Callers that round to whole seconds are
+/// up to half a second early or late, and the request itself takes time.
+const ON_TIME_TOLERANCE: Duration = Duration::from_millis(600);
+/// Maximum number of callers that are remembered. Beyond it, those with the earliest retry times are forgotten.
+const MAX_CALLERS: usize = 4_096;
 
-/// When refused callers were told to come back.
+/// Times at which refused callers have been asked to retry.
 #[derive(Clone, Debug, Default)]
 pub struct RetrySchedule {
-    /// The next time that is not given to anybody yet.
-    next: Moment,
-    told: HashMap<JobId, Moment>,
+    /// Next time that is not assigned to a caller yet.
+    next_free: Moment,
+    assigned: HashMap<JobId, Moment>,
     by_time: BTreeSet<(Moment, JobId)>,
 }
 
 impl RetrySchedule {
-    /// When the caller of a refused job is to come back: once there is room for it, after those that were refused before it.
+    /// Schedules the retry of a refused job and returns the time until then. The retry comes when there is capacity for
+    /// the job, after the retries of jobs that were refused before it.
     ///
-    /// `wait` is the forecast of the job, `work` its work in thousandths of a core times milliseconds, `spare` what is
-    /// left of the entry's room beside the usual arrivals, in thousandths of a core.
+    /// `wait` is the forecast of the job, `work` its work in thousandths of a core times milliseconds, and `spare` the
+    /// capacity that the usual arrivals leave to the entry, in thousandths of a core.
     pub fn schedule(
         &mut self,
         now: Moment,
@@ -38,35 +41,35 @@
         let wait = wait.unwrap_or(MIN_RETRY_DELAY);
         let earliest = now + wait.max(MIN_RETRY_DELAY);
         let latest = now + MAX_RETRY_DELAY;
-        let at = self.next.max(earliest).min(latest);
-        let slot = work as f64 / spare.max(f64::MIN_POSITIVE) / 1_000.0;
-        let slot = Duration::from_secs_f64(slot.min(MAX_RETRY_DELAY.as_secs_f64()));
-        self.next = at + slot;
-        self.remember(now, job, at);
+        let at = self.next_free.max(earliest).min(latest);
+        let duration = work as f64 / spare.max(f64::MIN_POSITIVE) / 1_000.0;
+        let duration = Duration::from_secs_f64(duration.min(MAX_RETRY_DELAY.as_secs_f64()));
+        self.next_free = at + duration;
+        self.record(now, job, at);
         at.since(now)
     }
 
-    /// Whether a job comes back at the time that its caller was told; it is forgotten then.
+    /// Returns whether a job is submitted again at its scheduled time, and forgets that time.
     pub fn is_on_time(&mut self, now: Moment, job: JobId) -> bool {
-        let Some(at) = self.told.remove(&job) else {
+        let Some(at) = self.assigned.remove(&job) else {
             return false;
         };
         self.by_time.remove(&(at, job));
-        now + KEPT_WITHIN >= at && now <= at + KEPT_WITHIN
+        now + ON_TIME_TOLERANCE >= at && now <= at + ON_TIME_TOLERANCE
     }
 
-    fn remember(&mut self, now: Moment, job: JobId, at: Moment) {
-        if let Some(before) = self.told.insert(job, at) {
-            self.by_time.remove(&(before, job));
+    fn record(&mut self, now: Moment, job: JobId, at: Moment) {
+        if let Some(previous) = self.assigned.insert(job, at) {
+            self.by_time.remove(&(previous, job));
         }
         self.by_time.insert((at, job));
         while let Some((first, other)) = self.by_time.first().copied() {
-            let is_missed = first + KEPT_WITHIN < now;
-            if !is_missed && self.by_time.len() <= MOST_KEPT {
+            let is_overdue = first + ON_TIME_TOLERANCE < now;
+            if !is_overdue && self.by_time.len() <= MAX_CALLERS {
                 return;
             }
             self.by_time.pop_first();
-            self.told.remove(&other);
+            self.assigned.remove(&other);
         }
     }
 }
--- a/crates/mastknot_core/src/scheduler/scarcity_settings.rs
+++ b/crates/mastknot_core/src/scheduler/scarcity_settings.rs
@@ -1,17 +1,19 @@
 use snafu::Snafu;
 
-/// What decides on room that is short, where queues of several priorities compete for the targets.
+/// Features that handle scarce capacity when queues of several priorities compete for the targets.
 ///
-/// Each part can be switched by itself; where it is off the older way decides.
+/// Each feature can be switched by itself. While it is off, the simpler behaviour without it applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScarcitySettings {
-    /// Sides grant room that is short to one entry at a time.
+    /// Whether sides grant scarce capacity to one entry at a time.
     pub grants: bool,
-    /// Jobs are taken, refused and told when to come back by a forecast of the wait. Off by default.
+    /// Whether a forecast of the wait decides which jobs are accepted or refused and when callers should retry. Off by
+    /// default.
     pub forecast: bool,
-    /// Among needs that are equally urgent room goes by the shares of halls. Off by default.
+    /// Whether scarce capacity is divided by the shares of halls among needs that are equally urgent. Off by default.
     pub shares: bool,
-    /// What was learned is kept beyond the life of the processes: suspects always, paces where queues are ranked.
+    /// Whether learned values outlast the processes: suspects always, slowdowns and run times only if queues are
+    /// ranked.
     pub profile: bool,
 }
 
@@ -26,17 +28,15 @@
     }
 }
 
-/// No part of what decides on room that is short has this name.
+/// Error for a name that is none of the features in [`ScarcitySettings`].
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display(
-    "no part is called `{name}`: there are `grants`, `forecast`, `shares` and `profile`"
-))]
+#[snafu(display("unknown part `{name}`: expected `grants`, `forecast`, `shares` or `profile`"))]
 pub struct UnknownPart {
     name: String,
 }
 
 impl ScarcitySettings {
-    /// The same with a part, by its name, switched on or off.
+    /// Returns the settings with the feature of this name switched on or off, or an error if there is no such feature.
     pub fn with_part(mut self, name: &str, is_on: bool) -> Result<Self, UnknownPart> {
         let part = match name {
             "grants" => &mut self.grants,
--- a/crates/mastknot_core/src/scheduler/share_weights.rs
+++ b/crates/mastknot_core/src/scheduler/share_weights.rs
@@ -1,4 +1,4 @@
-//! Shares of halls: the weights that operators have set, and whether they count.
+//! Shares of halls: the weights that operators have set, and whether they are applied.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::job::ShareWeights;
 use crate::types::Moment;
 
-/// So long after the last job of a ranked queue sides still share by halls: ranked jobs come every second where they
-/// come at all.
-const RANKED_FOR: Duration = Duration::from_secs(60);
+/// Time after the last job of a ranked queue during which sides still divide capacity by halls. Deployments with ranked
+/// queues have such jobs every second.
+const RANKED_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl JobScheduler {
-    /// Takes the weights of halls; what is older changes nothing. Sides hear of them with the next heartbeat.
+    /// Applies the weights of halls; an older set is ignored. Sides receive the weights with the next heartbeat.
     pub(super) fn update_share_weights(&mut self, weights: &Arc<ShareWeights>) {
         if !weights.is_newer_than(&self.weights) {
             return;
@@ -23,21 +23,21 @@
         self.record_decision(SchedulerDecision::ShareWeights { weights });
     }
 
-    /// The weights of halls, as far as they are known here.
+    /// Returns the weights of halls that are known to this entry.
     pub fn share_weights(&self) -> &ShareWeights {
         &self.weights
     }
 
-    /// A job is handed in to a ranked queue.
+    /// Records the submission of a job to a ranked queue.
     pub(super) fn record_ranked_job(&mut self, now: Moment) {
         self.last_ranked_submission = Some(now);
     }
 
-    /// Whether sides are to share room that is short between halls.
+    /// Returns whether sides should divide scarce capacity between halls.
     pub(super) fn shares_capacity(&self) -> bool {
         let is_ranked = self
             .last_ranked_submission
-            .is_some_and(|at| self.last_event_at.since(at) <= RANKED_FOR);
+            .is_some_and(|at| self.last_event_at.since(at) <= RANKED_TIMEOUT);
         self.settings.scarcity.shares && is_ranked
     }
 }
--- a/crates/mastknot_core/src/scheduler/side_view.rs
+++ b/crates/mastknot_core/src/scheduler/side_view.rs
@@ -14,89 +14,103 @@
 
 /// A start that the side's last report did not include.
 #[derive(Clone, Copy, Debug)]
-struct UnseenStart {
+struct UnreportedStart {
+    /// Number of the start on this link, beginning at 1.
     number: u64,
-    room: Capacity,
+    capacity: Capacity,
 }
 
-/// Whether the link to a side is used for starts.
+/// Use of the link to a side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkMode {
-    /// It is.
+    /// The link is used for starts.
     Active,
-    /// It is not: both ends say little.
+    /// The link is not used for starts, and both ends send few messages.
     Standby,
-    /// It will be, with the side's next report.
+    /// The link will be used for starts once the side has sent its next report.
     Activating,
 }
 
-/// A job of a contained kind that is on trial at a side.
+/// Isolation trial of a job of a contained kind at a side.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SideTrial {
-    /// The job; none if it is another entry's.
+    /// Job in the trial, or `None` if it is a job of another entry.
     pub(crate) job: Option<JobId>,
     pub(crate) until: Moment,
 }
 
-/// What an entry knows of a side.
+/// State of a side as known to an entry.
 #[derive(Clone, Debug)]
 pub(crate) struct SideView {
+    /// Link to the side, or `None` if it is disconnected.
     pub(crate) session: Option<SessionId>,
     pub(crate) link_mode: LinkMode,
-    /// Its rank among the sides of this entry: the lowest are used first, others at each entry.
+    /// Rank among the sides of this entry. The lowest ranks are used first, and each entry ranks the sides differently.
     pub(crate) rank: u32,
-    /// It was asked about a job and has said nothing since: its link counts as silent then.
+    /// Time until which the side must send a message after it was asked about a job; its link counts as silent then.
     pub(crate) answer_due: Option<Moment>,
-    /// When its last link was lost.
+    /// When the last link to the side was lost.
     pub(crate) lost_at: Moment,
-    /// Until then no job that it is asked about is claimed elsewhere: it is expected to link again.
+    /// Time until which the side is expected to connect again. Until then no job that it is asked about is claimed at
+    /// another side instead.
     pub(crate) awaited_until: Moment,
-    /// The same for jobs that this entry was not granted before.
+    /// Time until which the side is expected to connect again, for jobs that this entry has not been granted before.
     pub(crate) awaited_for_new_jobs_until: Moment,
-    /// A number for its name, the same at all entries.
+    /// Hash of the side's name, the same at all entries.
     pub(crate) name_hash: u32,
     pub(crate) incarnation: Incarnation,
     pub(crate) hall: Hall,
-    /// Whether operators have drained its hall.
+    /// Whether operators have drained the side's hall.
     pub(crate) is_hall_drained: bool,
-    /// What this entry's tasks pay for it, in thousandths of a target: each entry prefers others.
+    /// Penalty for placing this entry's tasks there, in thousandths of a full target. Each entry prefers different
+    /// sides.
     pub(crate) preference_penalty: u32,
+    /// Whether the side has reported on this link which earlier runs continue.
     pub(crate) is_resumed: bool,
-    /// Whether it grants claims of jobs that this entry has not had before.
+    /// Whether the side grants claims of jobs that this entry has not been granted before.
     pub(crate) takes_claims: bool,
+    /// When the last message was received from the side, or when the link was attached or activated after that.
     pub(crate) last_received_at: Moment,
+    /// Highest number of a status report on this link, or 0 before the first one.
     pub(crate) last_report_number: u64,
+    /// When the last heartbeat was sent to the side.
     pub(crate) heartbeat_sent_at: Moment,
-    /// Whether it is one of the sides that hold the configuration for others.
+    /// Whether the side is one of those that hold the configuration for others.
     pub(crate) holds_documents: bool,
-    /// What it was last told that it may ask for.
+    /// Last update that was sent to the side, which lists what the side may request.
     pub(crate) last_sent_update: Option<EntryUpdate>,
-    /// It is to hear at once from this entry.
+    /// Whether this entry must send a heartbeat to the side at once.
     pub(crate) needs_heartbeat: bool,
     pub(crate) target: Option<TargetProfile>,
     pub(crate) condition: TargetCondition,
+    /// Whether the target is temporarily slower than usual because it has just started or was idle.
     pub(crate) is_cold: bool,
+    /// Recent run times at the target relative to their estimates, in percent.
     pub(crate) slowdown_percent: u32,
-    /// The contained kind whose tasks alone run there.
+    /// Contained kind for which the side is reserved: no other tasks may start there.
     pub(crate) reserved_for: Option<TaskKind>,
+    /// Last known isolation trial at the side.
     pub(crate) trial: Option<SideTrial>,
     /// When this entry last ordered a start there.
     pub(crate) last_start: Moment,
-    /// What that takes.
-    pub(crate) last_room: Capacity,
-    /// The runs ordered here that are not known to be over.
+    /// Capacity required by the last start.
+    pub(crate) last_start_capacity: Capacity,
+    /// Runs ordered at the side that are not known to be over.
     pub(crate) runs: IndexMap<RunId, JobId>,
-    /// What is granted to this entry alone.
+    /// Capacity that is granted to this entry alone.
     pub(crate) grant: Option<HeldGrant>,
-    /// Grants here have not been answered yet: what is left of them after placing is returned.
+    /// Whether the last grant has not been answered yet. What is left of it after placing is returned.
     pub(crate) has_unanswered_grant: bool,
-    /// What waits there, and when that was told.
+    /// Work that waits at the side, and when it was reported.
     pub(crate) load: Option<(SideLoad, Moment)>,
+    /// Capacity that this entry may use for starts according to the last report.
     free: Capacity,
-    /// What is free there besides, and not this entry's to start.
-    hidden: Capacity,
+    /// Capacity that is free but that this entry may not use for starts.
+    withheld: Capacity,
+    /// Number of starts ordered on this link.
     starts: u64,
-    unseen: VecDeque<UnseenStart>,
+    /// Starts that the last report did not include, in the order in which they were sent.
+    unreported_starts: VecDeque<UnreportedStart>,
 }
 
 impl SideView {
@@ -129,19 +143,19 @@
             reserved_for: None,
             trial: None,
             last_start: Moment::default(),
-            last_room: Capacity::default(),
+            last_start_capacity: Capacity::default(),
             runs: IndexMap::new(),
             grant: None,
             has_unanswered_grant: false,
             load: None,
             free: Capacity::default(),
-            hidden: Capacity::default(),
+            withheld: Capacity::default(),
             starts: 0,
-            unseen: VecDeque::new(),
+            unreported_starts: VecDeque::new(),
         }
     }
 
-    /// Takes a new link; nothing is known of the room until its first report.
+    /// Attaches a new link. The capacity is unknown until the first report on it.
     pub(crate) fn attach_session(&mut self, now: Moment, session: SessionId) {
         self.session = Some(session);
         self.link_mode = LinkMode::Active;
@@ -154,18 +168,19 @@
         self.last_sent_update = None;
         self.condition = TargetCondition::Absent;
         self.free = Capacity::default();
-        self.hidden = Capacity::default();
+        self.withheld = Capacity::default();
         self.grant = None;
         self.has_unanswered_grant = false;
         self.load = None;
         self.starts = 0;
-        self.unseen.clear();
+        self.unreported_starts.clear();
     }
 
+    /// Applies a status report of the side.
     pub(crate) fn apply_status(&mut self, now: Moment, status: &SideStatus) {
         self.last_report_number = self.last_report_number.max(status.number);
         self.free = status.free;
-        self.hidden = status.withheld;
+        self.withheld = status.withheld;
         self.grant = status
             .grant
             .map(|grant| HeldGrant::new(now, &grant, status.is_offer));
@@ -181,15 +196,15 @@
         }
         let included = status.starts_included;
         while self
-            .unseen
+            .unreported_starts
             .front()
             .is_some_and(|start| start.number <= included)
         {
-            self.unseen.pop_front();
+            self.unreported_starts.pop_front();
         }
     }
 
-    /// Between two heartbeats on its link.
+    /// Returns the time between two heartbeats on the link.
     pub(crate) fn heartbeat_interval(&self, terms: &LeaseTerms) -> Duration {
         match self.link_mode {
             LinkMode::Standby => terms.standby_heartbeat,
@@ -197,7 +212,7 @@
         }
     }
 
-    /// After this long without a word its link is given up.
+    /// Returns the time without a message after which the link is given up.
     pub(crate) fn silence_timeout(&self, terms: &LeaseTerms) -> Duration {
         match self.link_mode {
             LinkMode::Standby => terms.standby_silence,
@@ -205,13 +220,14 @@
         }
     }
 
-    /// Whether its link is to be given up.
+    /// Returns whether the link must be given up because the side has been silent for too long.
     pub(crate) fn is_silent(&self, now: Moment, terms: &LeaseTerms) -> bool {
         now.since(self.last_received_at) > self.silence_timeout(terms)
             || self.answer_due.is_some_and(|by| now >= by)
     }
 
-    /// When it is to hear a heartbeat, counts as silent, or its runs are over; none if it is gone.
+    /// Returns when the side is due for a heartbeat, its link counts as silent, or its runs are over. Returns `None` if
+    /// the side is disconnected and has no runs.
     pub(crate) fn due(&self, terms: &LeaseTerms) -> Option<Moment> {
         match self.session {
             Some(_) => {
@@ -225,83 +241,84 @@
         }
     }
 
-    /// Notes a start: the report that includes it will say what is left.
-    pub(crate) fn record_start(&mut self, now: Moment, run: RunId, job: JobId, room: Capacity) {
+    /// Records a start. Its capacity counts as used until a report includes it.
+    pub(crate) fn record_start(&mut self, now: Moment, run: RunId, job: JobId, capacity: Capacity) {
         self.last_start = now;
-        self.last_room = room;
+        self.last_start_capacity = capacity;
         self.starts += 1;
         let number = self.starts;
-        self.unseen.push_back(UnseenStart { number, room });
+        self.unreported_starts
+            .push_back(UnreportedStart { number, capacity });
         self.runs.insert(run, job);
     }
 
-    /// The room that is believed to be free.
+    /// Returns the capacity that is assumed to be free for this entry.
     pub(crate) fn free(&self) -> Capacity {
-        let unseen = self.unseen.iter();
-        unseen.fold(self.free, |free, start| free.without(&start.room))
+        let unreported_starts = self.unreported_starts.iter();
+        unreported_starts.fold(self.free, |free, start| free.without(&start.capacity))
     }
 
-    /// The room that no run is believed to take, whoever may start there.
+    /// Returns the capacity that no run is assumed to use, whether or not this entry may use it.
     pub(crate) fn unused(&self) -> Capacity {
-        self.free().with(&self.hidden)
+        self.free().with(&self.withheld)
     }
 
-    /// Drops a grant: its time is over, or the side is told that what is left of it is not needed.
+    /// Drops the grant, because it has expired or because the side is notified that the rest of it is not needed.
     pub(crate) fn drop_grant(&mut self) {
         if let Some(grant) = self.grant.take() {
             self.free = self.free.without(&grant.capacity);
-            self.hidden = self.hidden.with(&grant.capacity);
+            self.withheld = self.withheld.with(&grant.capacity);
         }
     }
 
-    /// Whether a part of a grant that was made for what waits here is left.
+    /// Returns whether a part of a grant that was made for tasks waiting here is left.
     pub(crate) fn has_unused_grant(&self) -> bool {
         let is_needed = self.grant.is_some_and(|grant| grant.is_needed);
-        let rest = self.free();
-        is_needed && rest.cpu_millis > 0 && rest.covers(&self.last_room)
+        let remaining = self.free();
+        is_needed && remaining.cpu_millis > 0 && remaining.covers(&self.last_start_capacity)
     }
 
-    /// Whether any room is believed to be free.
+    /// Returns whether any capacity is assumed to be free for this entry.
     pub(crate) fn has_free_capacity(&self) -> bool {
         self.free() != Capacity::default()
     }
 
-    /// Whether work may be given to it now.
+    /// Returns whether tasks may be started at the side now.
     pub(crate) fn takes_work(&self) -> bool {
         let is_linked =
             self.session.is_some() && self.is_resumed && self.link_mode == LinkMode::Active;
         is_linked && !self.is_hall_drained && self.condition.takes_work()
     }
 
-    /// Whether its hall is drained or its side has reported that the target takes no work: the link is of no use for
-    /// starts.
+    /// Returns whether the side's hall is drained or the side has reported that its target accepts no work. The link
+    /// cannot be used for starts then.
     pub(crate) fn is_out_of_service(&self) -> bool {
         let is_reported = self.last_report_number > 0;
         self.is_hall_drained || (is_reported && !self.condition.takes_work())
     }
 
-    /// What it has not been told yet of what this entry has; it counts as told.
-    pub(crate) fn take_unsent_update(&mut self, news: &EntryUpdate) -> Option<EntryUpdate> {
-        let news = news.for_side(self.holds_documents);
-        if self.last_sent_update.as_ref() == Some(&news) {
+    /// Returns the update for the side and marks it as sent, or `None` if the side has it already.
+    pub(crate) fn take_unsent_update(&mut self, update: &EntryUpdate) -> Option<EntryUpdate> {
+        let update = update.for_side(self.holds_documents);
+        if self.last_sent_update.as_ref() == Some(&update) {
             return None;
         }
-        self.last_sent_update = Some(news.clone());
-        Some(news)
+        self.last_sent_update = Some(update.clone());
+        Some(update)
     }
 
-    /// Whether another job of a contained kind is on trial there.
-    pub(crate) fn is_tried_by_other(&self, now: Moment, job: JobId) -> bool {
+    /// Returns whether another job of a contained kind is in an isolation trial at the side.
+    pub(crate) fn has_other_trial(&self, now: Moment, job: JobId) -> bool {
         self.trial
             .is_some_and(|trial| trial.job != Some(job) && now < trial.until)
     }
 
-    /// The class of its target, if that names one.
+    /// Returns the class of the side's target, which is its first label.
     pub(crate) fn class(&self) -> Option<&Arc<str>> {
         self.target.as_ref()?.labels.first()
     }
 
-    /// Whether its target has a label.
+    /// Returns whether the side's target has a label.
     pub(crate) fn has_label(&self, label: &str) -> bool {
         let labels = self.target.iter().flat_map(|target| &target.labels);
         labels.into_iter().any(|own| **own == *label)
--- a/crates/mastknot_core/src/scheduler/suspects.rs
+++ b/crates/mastknot_core/src/scheduler/suspects.rs
@@ -1,13 +1,14 @@
-//! Tasks that ran on targets that crashed: kept apart on trial, and given up once it is known that they did it.
+//! Suspects: tasks that ran on targets that crashed. They are isolated in trials, and given up once they are confirmed
+//! to have caused the crashes.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::SchedulerDecision;
 use super::active_job::{ActiveJob, TaskState};
-use super::crash_history::CrashStanding;
+use super::crash_history::CrashSuspicion;
 use super::job_scheduler::JobScheduler;
-use super::run_at_crash::SOON;
+use super::run_at_crash::EARLY_CRASH;
 use super::side_view::SideView;
 use crate::job::{
     FailureCause, JobAnswer, JobId, TargetCrash, TaskRef, are_similar_run_times, trial_time,
@@ -15,21 +16,23 @@
 use crate::types::{Moment, NodeName};
 
 impl JobScheduler {
-    /// A side tells of a crash. Whoever owns the runs, each entry learns what ran there.
+    /// Records a crash that a side has reported. Each entry records what ran on the target, including runs of other
+    /// entries.
     pub(super) fn record_crash(&mut self, now: Moment, side: &NodeName, crash: &TargetCrash) {
-        let blamed = self.containment.blamed(crash);
-        if !self.crashes.note(now, side, &blamed) {
+        let attributed = self.containment.attributed(crash);
+        if !self.crashes.record(now, side, &attributed) {
             return;
         }
         self.counters.target_crashes += 1;
-        let without_bystanders = self.crashes.without_bystanders(crash);
-        self.contain_guilty_kinds(now, side, &without_bystanders);
+        let without_unrelated_runs = self.crashes.without_unrelated_runs(crash);
+        self.contain_confirmed_kinds(now, side, &without_unrelated_runs);
         for crashed in &crash.runs {
             self.give_up_if_confirmed(now, crashed.run.task);
         }
     }
 
-    /// Answers a job that comes again with a task that is known to crash targets, before anything of it starts.
+    /// Gives up a job that is submitted again if one of its tasks is known to crash targets, before any of its tasks
+    /// start.
     pub(super) fn give_up_known_crashers(&mut self, now: Moment, id: JobId) {
         self.crashes.forget_old(now);
         if self.crashes.is_empty() {
@@ -43,11 +46,11 @@
         self.give_up_suspect(now, id);
     }
 
-    /// A task that crashes its targets is never started again: each start would cost a target, and all that
-    /// runs there, for seconds.
+    /// Gives up a job if the task is confirmed to crash targets: each further start would cost a target, and everything
+    /// that runs there, for seconds.
     pub(super) fn give_up_if_confirmed(&mut self, now: Moment, task: TaskRef) {
         let is_open = self.jobs.get(&task.job).is_some_and(|job| !job.is_over);
-        if !is_open || self.crashes.standing(&task) != CrashStanding::Guilty {
+        if !is_open || self.crashes.suspicion(&task) != CrashSuspicion::Confirmed {
             return;
         }
         let Some(job) = self.jobs.get(&task.job) else {
@@ -58,59 +61,65 @@
         self.record_decision(SchedulerDecision::TaskGivenUp {
             task,
             request_id,
-            ran_ms: self.crashes.ran_ms(&task),
+            ran_ms: self.crashes.times_to_crash_ms(&task),
         });
         let cause = FailureCause::CrashesTargets;
         self.answer(now, task.job, JobAnswer::Failed { cause });
     }
 
-    /// How long a task ran until its last target crashed, if it is kept apart from others by itself: tasks of contained
-    /// kinds are kept apart by job.
+    /// Returns how long a task ran until its last target crashed, if it is a suspect that is isolated by itself. Tasks
+    /// of isolated kinds are isolated by job instead.
     pub(super) fn individual_suspect_time(&self, job: &ActiveJob, task: usize) -> Option<Duration> {
         if self.isolated_time_to_crash(job.kind(task)).is_some() {
             return None;
         }
-        self.crashes.suspect_ran(&job.tasks[task].name)
+        self.crashes.suspect_time_to_crash(&job.tasks[task].name)
     }
 
-    /// Whether a side runs another suspect of this entry whose targets crashed after about the same time: if its
-    /// target crashed, nothing would tell which of them did it.
-    pub(super) fn runs_similar_suspect(&self, now: Moment, ran: Duration, side: &SideView) -> bool {
+    /// Returns whether a side runs another suspect of this entry whose targets crashed after about the same time. If
+    /// the target crashed again, nothing would show which of the two caused it.
+    pub(super) fn runs_similar_suspect(
+        &self,
+        now: Moment,
+        time_to_crash: Duration,
+        side: &SideView,
+    ) -> bool {
         let mut others = side.runs.keys();
         others.any(|run| {
-            let other = self.crashes.suspect_ran(&run.task);
+            let other = self.crashes.suspect_time_to_crash(&run.task);
             other.is_some_and(|other| {
-                is_on_trial(now, side, other) && are_similar_run_times(ran, other)
+                is_on_trial(now, side, other) && are_similar_run_times(time_to_crash, other)
             })
         })
     }
 
-    /// Whether another task of the job is on trial that may have crashed the same target: if it did, the job is
-    /// answered, and this one need not cost a target of its own.
+    /// Returns whether the task must wait for the trial of another task of its job that may have crashed the same
+    /// target. If that task is the cause, the job is answered, and this task does not cost a target of its own.
     pub(super) fn waits_for_trial(&self, now: Moment, job: &ActiveJob, task: usize) -> bool {
         if self.isolated_time_to_crash(job.kind(task)).is_some() {
-            // It has a target for itself: all its tasks cost one together.
+            // The kind has targets of its own, so all tasks of the job cost a single target together.
             return false;
         }
-        let ran = self.crashes.suspect_ran(&job.tasks[task].name);
-        let Some(ran) = ran.filter(|ran| *ran <= SOON) else {
+        let time_to_crash = self.crashes.suspect_time_to_crash(&job.tasks[task].name);
+        let Some(time_to_crash) = time_to_crash.filter(|time| *time <= EARLY_CRASH) else {
             return false;
         };
         job.tasks.iter().any(|other| match &other.state {
             TaskState::Ordered { side, .. } => {
                 let view = self.sides.get(side);
-                let like = self.crashes.suspect_ran(&other.name);
-                let like = like.filter(|like| are_similar_run_times(ran, *like));
-                view.zip(like)
-                    .is_some_and(|(view, like)| is_on_trial(now, view, like))
+                let similar = self.crashes.suspect_time_to_crash(&other.name);
+                let similar =
+                    similar.filter(|similar| are_similar_run_times(time_to_crash, *similar));
+                view.zip(similar)
+                    .is_some_and(|(view, similar)| is_on_trial(now, view, similar))
             }
             _ => false,
         })
     }
 }
 
-/// Whether what was started last at a side may still be on trial. A run that is older than that start counts as on
-/// trial for a little too long.
-fn is_on_trial(now: Moment, side: &SideView, ran: Duration) -> bool {
-    now.since(side.last_start) <= trial_time(ran)
+/// Returns whether the last start at a side may still be in its isolation trial. An older run at the side counts as in
+/// a trial for slightly too long.
+fn is_on_trial(now: Moment, side: &SideView, time_to_crash: Duration) -> bool {
+    now.since(side.last_start) <= trial_time(time_to_crash)
 }
