--- a/crates/mastknot_core/src/scheduler/active_job.rs
+++ b/crates/mastknot_core/src/scheduler/active_job.rs
@@ -9,7 +9,7 @@
 use crate::types::{Moment, NodeName};
 
 /// The longest run of a step counts as its work up to so many times the middle one: tasks differ by about a seventh.
-const MOST_UNEVEN: f64 = 1.3;
+const MAX_WORK_RATIO: f64 = 1.3;
 
 /// Where a task stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,8 +32,8 @@
     /// Failures that count.
     pub(crate) failures: u32,
     /// Ends that are put down to targets, and on how many sides they came about.
-    pub(crate) unclear_ends: u32,
-    pub(crate) unclear_sides: u32,
+    pub(crate) ambiguous_failures: u32,
+    pub(crate) ambiguous_failure_sides: u32,
     /// Targets that have crashed under it.
     pub(crate) crashes: u32,
     /// Sides where it failed or stood still.
@@ -58,12 +58,12 @@
     /// How long each step is expected to take.
     pub(crate) expected: Vec<Duration>,
     /// From then on it is refused if nothing of it has begun.
-    pub(crate) patience_ends: Moment,
+    pub(crate) start_timeout_at: Moment,
     pub(crate) attempts: AttemptNumbers,
     pub(crate) first_start: Option<Moment>,
     /// Starts ordered, and how many of them are known not to have begun.
     pub(crate) starts: u64,
-    pub(crate) not_begun: u64,
+    pub(crate) starts_not_run: u64,
     /// Answered or abandoned: nothing more is started.
     pub(crate) is_over: bool,
     /// Whether this entry may start it.
@@ -75,7 +75,7 @@
 
 impl ActiveJob {
     /// The tasks of a new job.
-    pub(crate) fn tasks_of(request: &JobRequest) -> Vec<ActiveTask> {
+    pub(crate) fn initial_tasks(request: &JobRequest) -> Vec<ActiveTask> {
         let mut tasks = Vec::new();
         for (step, spec) in request.steps.iter().enumerate() {
             for index in 0..spec.count {
@@ -87,8 +87,8 @@
                     },
                     state: TaskState::Blocked,
                     failures: 0,
-                    unclear_ends: 0,
-                    unclear_sides: 0,
+                    ambiguous_failures: 0,
+                    ambiguous_failure_sides: 0,
                     crashes: 0,
                     avoided: Vec::new(),
                     work: Duration::ZERO,
@@ -108,7 +108,7 @@
     }
 
     /// The place of a task in the list of tasks.
-    pub(crate) fn find(&self, name: &TaskRef) -> Option<usize> {
+    pub(crate) fn task_index(&self, name: &TaskRef) -> Option<usize> {
         self.tasks.iter().position(|task| task.name == *name)
     }
 
@@ -148,7 +148,7 @@
         is_startable && tasks.any(|task| task.state == TaskState::Waiting)
     }
 
-    pub(crate) fn ordered(&self) -> usize {
+    pub(crate) fn ordered_tasks(&self) -> usize {
         let tasks = self.tasks.iter();
         let ordered = tasks.filter(|task| matches!(task.state, TaskState::Ordered { .. }));
         ordered.count()
@@ -156,12 +156,12 @@
 
     /// Whether a task of it may have begun.
     pub(crate) fn may_have_begun(&self) -> bool {
-        self.starts > self.not_begun
+        self.starts > self.starts_not_run
     }
 
     /// Whether a task of it may have begun here, or at another entry that was handed it too.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.may_have_begun() || self.claim.was_elsewhere
+        self.may_have_begun() || self.claim.was_held_elsewhere
     }
 
     /// The longest work of a task of a finished step.
@@ -184,24 +184,24 @@
     /// Callers go by the work, not by its guess.
     pub(crate) fn observed_objective(&self) -> Option<Moment> {
         let steps = 0..self.request.steps.len() as u16;
-        let took: Option<Vec<Duration>> = steps.map(|step| self.sound_time(step)).collect();
+        let took: Option<Vec<Duration>> = steps.map(|step| self.healthy_step_time(step)).collect();
         let took = took?;
-        Some(self.arrived + self.span(self.longest_chain(|step| took[step])))
+        Some(self.arrived + self.latency_objective(self.longest_chain(|step| took[step])))
     }
 
     /// How long a step took on sound targets: the tasks of a step have about the same work, so one that ran for much
     /// longer than most stood on a slow target.
-    fn sound_time(&self, step: u16) -> Option<Duration> {
+    fn healthy_step_time(&self, step: u16) -> Option<Duration> {
         let longest = self.longest_work(step)?;
         let of_step = self.tasks.iter().filter(|task| task.name.step == step);
         let mut work: Vec<Duration> = of_step.map(|task| task.work).collect();
         work.sort_unstable();
         let middle = work.get(work.len().saturating_sub(1) / 2)?;
-        Some(longest.min(middle.mul_f64(MOST_UNEVEN)))
+        Some(longest.min(middle.mul_f64(MAX_WORK_RATIO)))
     }
 
     /// The time in which a job is in time whose longest chain of work takes `chain`.
-    pub(crate) fn span(&self, chain: Duration) -> Duration {
+    pub(crate) fn latency_objective(&self, chain: Duration) -> Duration {
         chain.mul_f64(self.policy.stretch) + self.policy.allowance
     }
 
--- a/crates/mastknot_core/src/scheduler/active_links.rs
+++ b/crates/mastknot_core/src/scheduler/active_links.rs
@@ -9,27 +9,27 @@
 use crate::types::{Moment, NodeName};
 
 /// So many times the usual number are used at most, while tasks wait for room.
-const MOST_FACTOR: usize = 2;
+const MAX_LINKS_FACTOR: usize = 2;
 /// So many are woken at once, and no more for [`WAKE_INTERVAL`].
-const WOKEN_TOGETHER: usize = 8;
+const ACTIVATION_BATCH: usize = 8;
 /// Long enough that those woken before have reported (one exchange) and shown whether they have room.
-const WAKE_INTERVAL: Duration = Duration::from_millis(50);
+const ACTIVATION_INTERVAL: Duration = Duration::from_millis(50);
 /// How often links beyond the usual number are looked for: the look goes through all sides.
-const SURPLUS_INTERVAL: Duration = Duration::from_millis(100);
+const SURPLUS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Links beyond the usual number are kept for so long after tasks last waited.
-const KEPT_FOR: Duration = Duration::from_secs(5);
+const SURPLUS_KEPT_FOR: Duration = Duration::from_secs(5);
 
 /// Where tasks wait for longer without a break, room is short at the sides in use: some ends of runs come in this time
 /// at each of them.
-const GRANTS_COME_WITHIN: Duration = Duration::from_millis(80);
+const SHORTAGE_AFTER: Duration = Duration::from_millis(80);
 
 /// When links were woken, and until when more than usual are kept.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ActiveLinks {
-    woken: Moment,
-    checked: Moment,
+    last_activation: Moment,
+    last_surplus_check: Moment,
     /// When a task last waited without a side that had room for it.
-    needed: Moment,
+    last_needed: Moment,
     is_needed: bool,
     /// Since when tasks have waited without a break.
     waiting_since: Option<Moment>,
@@ -45,18 +45,18 @@
             self.active_links.waiting_since = None;
         } else {
             self.active_links.waiting_since.get_or_insert(now);
-            if self.is_room_short(now) {
-                self.note_needed(now);
+            if self.is_capacity_short(now) {
+                self.record_links_needed(now);
             }
-            self.wake_suitable(now);
+            self.activate_suitable(now);
         }
-        if now.since(self.active_links.needed) > KEPT_FOR {
+        if now.since(self.active_links.last_needed) > SURPLUS_KEPT_FOR {
             self.active_links.is_needed = false;
         }
-        if now >= self.active_links.checked + SURPLUS_INTERVAL {
-            self.active_links.checked = now;
-            self.wake_lower_ranks(now);
-            self.stand_by_surplus();
+        if now >= self.active_links.last_surplus_check + SURPLUS_CHECK_INTERVAL {
+            self.active_links.last_surplus_check = now;
+            self.activate_lower_ranks(now);
+            self.put_surplus_on_standby();
             self.fill_active_links(now);
         }
     }
@@ -65,14 +65,14 @@
     ///
     /// Where room is granted nearly all tasks wait for a moment: more links for that would only cost heartbeats and split
     /// the room into smaller pieces.
-    fn is_room_short(&self, now: Moment) -> bool {
+    fn is_capacity_short(&self, now: Moment) -> bool {
         let since = self.active_links.waiting_since;
-        let has_waited = since.is_some_and(|since| now.since(since) >= GRANTS_COME_WITHIN);
+        let has_waited = since.is_some_and(|since| now.since(since) >= SHORTAGE_AFTER);
         has_waited || !self.uses_capacity_grants()
     }
 
-    fn note_needed(&mut self, now: Moment) {
-        self.active_links.needed = now;
+    fn record_links_needed(&mut self, now: Moment) {
+        self.active_links.last_needed = now;
         self.active_links.is_needed = true;
     }
 
@@ -83,23 +83,23 @@
 
     /// When links beyond the usual number are given up.
     pub(super) fn active_links_due(&self) -> Option<Moment> {
-        let due = self.active_links.needed + KEPT_FOR;
+        let due = self.active_links.last_needed + SURPLUS_KEPT_FOR;
         self.active_links.is_needed.then_some(due)
     }
 
     /// Links of lower ranks that are of use again take the place of others, once all places are taken.
     ///
     /// Otherwise nobody uses targets that come back to a crowd.
-    fn wake_lower_ranks(&mut self, now: Moment) {
+    fn activate_lower_ranks(&mut self, now: Moment) {
         let used = self.sides.values().filter(|side| is_in_use(side));
         let mut ranks: Vec<u32> = used.map(|side| side.rank).collect();
         ranks.sort_unstable();
         // Links beyond that place go on standby as soon as nothing runs there.
-        let Some(last) = ranks.get(self.most_links().saturating_sub(1)).copied() else {
+        let Some(last) = ranks.get(self.max_links().saturating_sub(1)).copied() else {
             return;
         };
-        let names = self.standby_names(WOKEN_TOGETHER, |side| side.rank < last);
-        names.iter().for_each(|name| self.wake(now, name));
+        let names = self.standby_names(ACTIVATION_BATCH, |side| side.rank < last);
+        names.iter().for_each(|name| self.activate(now, name));
     }
 
     /// Links are gone, or their targets take no work any more: others take their place.
@@ -107,7 +107,7 @@
         let used = self.sides.values().filter(|side| is_in_use(side)).count();
         let missing = self.usual_links().saturating_sub(used);
         let names = self.standby_names(missing, |_| true);
-        names.iter().for_each(|name| self.wake(now, name));
+        names.iter().for_each(|name| self.activate(now, name));
     }
 
     /// How many links are used as a rule.
@@ -117,9 +117,9 @@
     }
 
     /// How many links are used now at most.
-    fn most_links(&self) -> usize {
+    fn max_links(&self) -> usize {
         match self.active_links.is_needed {
-            true => self.usual_links() * MOST_FACTOR,
+            true => self.usual_links() * MAX_LINKS_FACTOR,
             false => self.usual_links(),
         }
     }
@@ -130,11 +130,11 @@
     }
 
     /// Wakes links to targets that could run the first task that waits.
-    fn wake_suitable(&mut self, now: Moment) {
-        if now < self.active_links.woken + WAKE_INTERVAL {
+    fn activate_suitable(&mut self, now: Moment) {
+        if now < self.active_links.last_activation + ACTIVATION_INTERVAL {
             return;
         }
-        self.active_links.woken = now;
+        self.active_links.last_activation = now;
         let first = self.waiting.values().next();
         let Some(job) = first.and_then(|id| self.jobs.get(id)) else {
             return;
@@ -146,15 +146,15 @@
             (count + 1, suitable + usize::from(is_suitable(side)))
         });
         // A queue's own targets may be few among many.
-        let has_most = count >= self.most_links() || !self.is_room_short(now);
+        let has_most = count >= self.max_links() || !self.is_capacity_short(now);
         if has_most && suitable >= self.usual_links() / 2 {
             return;
         }
-        let names = self.standby_names(WOKEN_TOGETHER, is_suitable);
+        let names = self.standby_names(ACTIVATION_BATCH, is_suitable);
         if !names.is_empty() {
-            self.note_needed(now);
+            self.record_links_needed(now);
         }
-        names.iter().for_each(|name| self.wake(now, name));
+        names.iter().for_each(|name| self.activate(now, name));
     }
 
     /// Linked sides on standby whose targets take work, the lowest ranks first.
@@ -173,7 +173,7 @@
         ranked.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
-    fn wake(&mut self, now: Moment, name: &NodeName) {
+    fn activate(&mut self, now: Moment, name: &NodeName) {
         let Some(side) = self.sides.get_mut(name) else {
             return;
         };
@@ -195,24 +195,24 @@
     ///
     /// Links are made in use: without this all processes that start in a crowd keep all of them, and most starts meet those
     /// of others. Links to targets that are gone are always idle; if they kept their places they would crowd out the others.
-    fn stand_by_surplus(&mut self) {
+    fn put_surplus_on_standby(&mut self) {
         let mut used: Vec<(bool, u32, NodeName)> = Vec::new();
         for (name, side) in &self.sides {
             if side.session.is_some() && side.link_mode != LinkMode::Standby {
                 used.push((side.is_out_of_service(), side.rank, name.clone()));
             }
         }
-        let most = self.most_links();
+        let most = self.max_links();
         if used.len() <= most {
             return;
         }
         used.sort_unstable();
         for (_, _, name) in used.split_off(most) {
-            self.stand_by(&name);
+            self.put_on_standby(&name);
         }
     }
 
-    fn stand_by(&mut self, name: &NodeName) {
+    fn put_on_standby(&mut self, name: &NodeName) {
         let Some(side) = self.sides.get_mut(name) else {
             return;
         };
--- a/crates/mastknot_core/src/scheduler/admission.rs
+++ b/crates/mastknot_core/src/scheduler/admission.rs
@@ -7,9 +7,9 @@
 pub const REVIEW_INTERVAL: Duration = Duration::from_millis(4);
 /// The forecast's error takes this part of the wait off at most: a queue whose forecast is of no use is not held in vain,
 /// and a job without any time left is not held at all.
-const WIDEST_MARGIN: f64 = 0.5;
+const MAX_MARGIN_SHARE: f64 = 0.5;
 /// A refusal at arrival allows for so many times the error.
-const SURE_AT_ONCE: u32 = 2;
+const ARRIVAL_ERROR_FACTOR: u32 = 2;
 
 /// What is decided of a job of which nothing has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,8 +50,8 @@
         if input.has_room {
             return Self::Wait;
         }
-        let is_sure = input.is_new && input.is_beyond(input.error * SURE_AT_ONCE);
-        let is_denied = input.is_beyond(input.error);
+        let is_sure = input.is_new && input.is_late_despite(input.error * ARRIVAL_ERROR_FACTOR);
+        let is_denied = input.is_late_despite(input.error);
         match (is_sure || (is_denied && input.was_denied_before), is_denied) {
             (true, _) => Self::Refuse,
             (false, true) => Self::DeniedOnce,
@@ -62,11 +62,11 @@
 
 impl AdmissionInput {
     /// Whether the job would be late even if it waited for less than forecast by this margin.
-    fn is_beyond(&self, margin: Duration) -> bool {
+    fn is_late_despite(&self, margin: Duration) -> bool {
         let Some(wait) = self.forecast.wait else {
             return true;
         };
-        let margin = margin.min(wait.mul_f64(WIDEST_MARGIN));
+        let margin = margin.min(wait.mul_f64(MAX_MARGIN_SHARE));
         wait - margin + self.chain > self.left
     }
 }
--- a/crates/mastknot_core/src/scheduler/awaited_links.rs
+++ b/crates/mastknot_core/src/scheduler/awaited_links.rs
@@ -24,13 +24,13 @@
             let lost = self.sides.values_mut().filter(|side| is_lost(side));
             lost.for_each(|side| side.awaited_until = now + lasts);
         }
-        self.is_cut_off |= left == 0;
-        self.plan_wait_for_links(now);
+        self.is_disconnected |= left == 0;
+        self.schedule_wait_for_links(now);
     }
 
     /// The first link of an entry that had none stands: the others are expected from now on.
     pub(super) fn await_other_links(&mut self, now: Moment) {
-        if !std::mem::take(&mut self.is_cut_off) {
+        if !std::mem::take(&mut self.is_disconnected) {
             return;
         }
         let terms = &self.settings.terms;
@@ -39,21 +39,21 @@
             |side: &SideView| side.session.is_none() && now.since(side.last_received_at) < recently;
         let missing = self.sides.values_mut().filter(|side| is_missing(side));
         missing.for_each(|side| side.awaited_until = now + lasts);
-        self.plan_wait_for_links(now);
+        self.schedule_wait_for_links(now);
     }
 
-    fn plan_wait_for_links(&mut self, now: Moment) {
+    fn schedule_wait_for_links(&mut self, now: Moment) {
         let missing = self.sides.values().filter(|side| !side.is_resumed);
         let ends = missing.flat_map(|side| [side.awaited_until, side.awaited_for_new_jobs_until]);
-        self.links_awaited = ends.filter(|end| *end > now).min();
+        self.links_awaited_until = ends.filter(|end| *end > now).min();
     }
 
     /// Links that have not come back in their time are waited for no more.
     pub(super) fn end_wait_for_links(&mut self, now: Moment) {
-        if self.links_awaited.is_none_or(|end| now < end) {
+        if self.links_awaited_until.is_none_or(|end| now < end) {
             return;
         }
-        self.plan_wait_for_links(now);
-        self.claim_all(now);
+        self.schedule_wait_for_links(now);
+        self.claim_all_jobs(now);
     }
 }
--- a/crates/mastknot_core/src/scheduler/claim_upkeep.rs
+++ b/crates/mastknot_core/src/scheduler/claim_maintenance.rs
@@ -1,7 +1,7 @@
 //! Claims that stand: renewals, links that go and come, releases.
 
 use super::claim_state::ClaimPhase;
-use super::claiming::ASKED_SIDES;
+use super::claiming::SIDES_PER_CLAIM;
 use super::job_scheduler::JobScheduler;
 use super::{SchedulerEffect, SessionId};
 use crate::job::{EntryOrder, JobId};
@@ -16,7 +16,7 @@
         for (side, session) in self.claim_sessions(id) {
             self.send_claim(now, id, &side, session);
         }
-        self.plan_claim(id);
+        self.schedule_claim(id);
     }
 
     /// The sides that were asked about a job, and the links to them.
@@ -31,18 +31,18 @@
     }
 
     /// Renews the claims of jobs that have outlasted them, and gives up links on which a claim got no answer.
-    pub(super) fn look_after_claims(&mut self, now: Moment) {
+    pub(super) fn maintain_claims(&mut self, now: Moment) {
         self.end_wait_for_links(now);
         while let Some((due, id)) = self.claims_due.first().copied() {
             if due > now {
                 return;
             }
             self.claims_due.pop_first();
-            self.look_after_claim(now, id);
+            self.maintain_claim(now, id);
         }
     }
 
-    fn look_after_claim(&mut self, now: Moment, id: JobId) {
+    fn maintain_claim(&mut self, now: Moment, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -54,17 +54,17 @@
         for (side, phase) in due {
             let session = self.sides.get(&side).and_then(|side| side.session);
             match (phase, session) {
-                (ClaimPhase::Asked, Some(session)) => self.claim_unanswered(now, session),
+                (ClaimPhase::Asked, Some(session)) => self.close_unanswered_link(now, session),
                 (_, Some(session)) => self.send_claim(now, id, &side, session),
                 (_, None) => self.forget_claim_at(now, id, &side),
             }
         }
-        self.claim(now, id);
-        self.plan_claim(id);
+        self.claim_job(now, id);
+        self.schedule_claim(id);
     }
 
     /// A link on standby may have gone silent without a word: it is given up as one in use would be.
-    fn claim_unanswered(&mut self, now: Moment, session: SessionId) {
+    fn close_unanswered_link(&mut self, now: Moment, session: SessionId) {
         self.counters.claims_unanswered += 1;
         self.counters.links_silent += 1;
         self.effects.push(SchedulerEffect::Close { session });
@@ -72,7 +72,7 @@
     }
 
     /// The link to a side is gone: what was claimed there is claimed at the next.
-    pub(super) fn move_claims(&mut self, now: Moment, side: &NodeName) {
+    pub(super) fn reassign_claims(&mut self, now: Moment, side: &NodeName) {
         let again = now + self.settings.terms.run_over_after;
         for id in self.jobs_asked_at(side) {
             let job = self.jobs.get_mut(&id);
@@ -85,8 +85,8 @@
                 claim.not_before = Some(again);
             }
             self.forget_claim_at(now, id, side);
-            self.claim(now, id);
-            self.plan_claim(id);
+            self.claim_job(now, id);
+            self.schedule_claim(id);
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// A side is linked: it is asked about the jobs of whose first sides it is one from now on.
-    pub(super) fn claim_at(&mut self, now: Moment, name: &NodeName) {
+    pub(super) fn claim_at_new_link(&mut self, now: Moment, name: &NodeName) {
         self.await_other_links(now);
         for id in self.jobs_asked_at(name) {
             self.forget_claim_at(now, id, name);
@@ -125,7 +125,7 @@
         let mut jobs: Vec<JobId> = jobs.filter(|id| self.is_among_first(*id, name)).collect();
         jobs.sort_unstable();
         for id in jobs {
-            self.claim(now, id);
+            self.claim_job(now, id);
         }
     }
 
@@ -135,22 +135,22 @@
         };
         let asked = job.claim.asked.iter();
         let before = asked.filter(|asked| self.ranks_before(id, &asked.name, side));
-        before.count() < ASKED_SIDES
+        before.count() < SIDES_PER_CLAIM
     }
 
     /// A side says whether it grants claims of jobs that this entry has not had before.
-    pub(super) fn note_takes_claims(&mut self, side: &NodeName, takes_claims: bool) {
+    pub(super) fn record_takes_claims(&mut self, side: &NodeName, takes_claims: bool) {
         if let Some(side) = self.sides.get_mut(side) {
             side.takes_claims = takes_claims;
         }
     }
 
     /// Asks about each job the sides that are to be asked and were not.
-    pub(super) fn claim_all(&mut self, now: Moment) {
+    pub(super) fn claim_all_jobs(&mut self, now: Moment) {
         let mut jobs: Vec<JobId> = self.jobs.keys().copied().collect();
         jobs.sort_unstable();
         for id in jobs {
-            self.claim(now, id);
+            self.claim_job(now, id);
         }
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Notes when a claim is to be looked after next.
-    pub(super) fn plan_claim(&mut self, id: JobId) {
+    pub(super) fn schedule_claim(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -189,6 +189,6 @@
     /// When a claim is to be renewed, or its answer is missed.
     pub(super) fn claims_due(&self) -> Option<Moment> {
         let due = self.claims_due.first().map(|(due, _)| *due);
-        due.into_iter().chain(self.links_awaited).min()
+        due.into_iter().chain(self.links_awaited_until).min()
     }
 }
--- a/crates/mastknot_core/src/scheduler/claim_state.rs
+++ b/crates/mastknot_core/src/scheduler/claim_state.rs
@@ -34,7 +34,7 @@
     /// Whether another entry has got the job since it was granted here.
     pub(crate) is_lost: bool,
     /// Whether another entry has had the job since it was handed in here: it may have run there.
-    pub(crate) was_elsewhere: bool,
+    pub(crate) was_held_elsewhere: bool,
     /// No side is asked before: whoever has the job claims it elsewhere until then.
     pub(crate) not_before: Option<Moment>,
     /// When something of it is due.
@@ -62,7 +62,7 @@
     }
 
     /// The claim at this side, if it was asked.
-    pub(crate) fn at_mut(&mut self, side: &NodeName) -> Option<&mut AskedSide> {
+    pub(crate) fn asked_mut(&mut self, side: &NodeName) -> Option<&mut AskedSide> {
         self.asked.iter_mut().find(|asked| asked.name == *side)
     }
 
--- a/crates/mastknot_core/src/scheduler/claiming.rs
+++ b/crates/mastknot_core/src/scheduler/claiming.rs
@@ -19,7 +19,7 @@
 type ClaimRank<'a> = (u64, &'a NodeName);
 
 /// So many sides are asked about a job: the second one outlives a fault of the first, or of the link to it.
-pub(super) const ASKED_SIDES: usize = 2;
+pub(super) const SIDES_PER_CLAIM: usize = 2;
 
 fn claim_rank<'a>(job: JobId, name: &'a NodeName, side: &SideView) -> ClaimRank<'a> {
     (mix_bits(job.0 ^ mix_bits(u64::from(side.name_hash))), name)
@@ -33,16 +33,16 @@
 }
 
 impl RankedSide<'_> {
-    fn is_reached(&self) -> bool {
+    fn can_be_asked(&self) -> bool {
         self.session.is_some()
     }
 }
 
 /// Leaves as many sides as are asked about a job: the lowest by a key, in its order.
 fn take_first<'a, K: Ord>(sides: &mut Vec<RankedSide<'a>>, key: impl Fn(&RankedSide<'a>) -> K) {
-    if sides.len() > ASKED_SIDES {
-        sides.select_nth_unstable_by_key(ASKED_SIDES, &key);
-        sides.truncate(ASKED_SIDES);
+    if sides.len() > SIDES_PER_CLAIM {
+        sides.select_nth_unstable_by_key(SIDES_PER_CLAIM, &key);
+        sides.truncate(SIDES_PER_CLAIM);
     }
     sides.sort_unstable_by_key(key);
 }
@@ -56,7 +56,7 @@
 
 impl JobScheduler {
     /// Asks the sides that are to be asked about a job and were not.
-    pub(super) fn claim(&mut self, now: Moment, id: JobId) {
+    pub(super) fn claim_job(&mut self, now: Moment, id: JobId) {
         let job = self.jobs.get(&id);
         let may_ask = job.is_some_and(|job| job.claim.not_before.is_none());
         if !self.settings.claims_jobs || !may_ask {
@@ -74,13 +74,13 @@
                 break;
             }
             if let (None, Some(session)) = (phase, side.session) {
-                self.ask(now, id, side.name, session);
+                self.ask_side(now, id, side.name, session);
             }
         }
         if is_granted {
-            self.claim_granted(now, id);
+            self.complete_claim(now, id);
         }
-        self.plan_claim(id);
+        self.schedule_claim(id);
     }
 
     /// The first sides by rank of those that are linked or waited for. If one of them can be asked now, the next that can
@@ -88,10 +88,10 @@
     fn sides_to_ask(&self, now: Moment, id: JobId) -> Vec<SideToAsk> {
         let mut sides = self.ranked_sides(now, id);
         take_first(&mut sides, |side| side.rank);
-        let is_one_reached = sides.iter().any(RankedSide::is_reached);
-        if is_one_reached && !sides.iter().all(RankedSide::is_reached) {
+        let is_one_reached = sides.iter().any(RankedSide::can_be_asked);
+        if is_one_reached && !sides.iter().all(RankedSide::can_be_asked) {
             sides = self.ranked_sides(now, id);
-            take_first(&mut sides, |side| (!side.is_reached(), side.rank));
+            take_first(&mut sides, |side| (!side.can_be_asked(), side.rank));
         }
         let sides = sides.into_iter().map(|side| SideToAsk {
             name: side.rank.1.clone(),
@@ -119,7 +119,7 @@
         ranked.collect()
     }
 
-    fn ask(&mut self, now: Moment, id: JobId, name: NodeName, session: SessionId) {
+    fn ask_side(&mut self, now: Moment, id: JobId, name: NodeName, session: SessionId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -148,14 +148,14 @@
         let renewed = now.max(job.deadline) + lasts;
         let term = renewed.since(now) + lasts;
         let is_reclaim = job.claim.is_reclaim();
-        if let Some(asked) = job.claim.at_mut(side) {
+        if let Some(asked) = job.claim.asked_mut(side) {
             asked.renewal = renewed;
             asked.due = match asked.phase {
                 ClaimPhase::Asked => missed.min(renewed),
                 ClaimPhase::Held | ClaimPhase::Granted => renewed,
             };
         }
-        self.expect_word(session, missed);
+        self.expect_message(session, missed);
         let claim = JobClaim {
             job: id,
             term_ms: term.as_millis() as u32,
@@ -165,7 +165,7 @@
     }
 
     /// A side that is asked says something soon, also on standby: the job may be over before its answer is missed.
-    fn expect_word(&mut self, session: SessionId, by: Moment) {
+    fn expect_message(&mut self, session: SessionId, by: Moment) {
         let name = self.sessions.get(&session);
         if let Some(side) = name.and_then(|name| self.sides.get_mut(name)) {
             side.answer_due.get_or_insert(by);
@@ -174,7 +174,7 @@
     }
 
     /// A side says how the claim of a job stands.
-    pub(super) fn claim_answered(
+    pub(super) fn handle_claim_answer(
         &mut self,
         now: Moment,
         side: &NodeName,
@@ -186,13 +186,13 @@
         match answer {
             // It was released meanwhile.
             _ if phase.is_none() => {}
-            ClaimAnswer::Granted => self.granted_at(now, side, id),
-            ClaimAnswer::Held { by } => self.held_at(now, side, id, by),
+            ClaimAnswer::Granted => self.handle_grant(now, side, id),
+            ClaimAnswer::Held { by } => self.handle_held(now, side, id, by),
         }
     }
 
     /// A grant is not wanted before that of another side.
-    fn give_back(&mut self, side: &NodeName, id: JobId) {
+    fn return_grant(&mut self, side: &NodeName, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.claim.forget(side);
         }
@@ -202,12 +202,12 @@
         }
     }
 
-    fn granted_at(&mut self, now: Moment, side: &NodeName, id: JobId) {
+    fn handle_grant(&mut self, now: Moment, side: &NodeName, id: JobId) {
         match self.waits_before(id, side) {
-            true => self.give_back(side, id),
-            false => self.note_answer_of(side, id, ClaimPhase::Granted),
+            true => self.return_grant(side, id),
+            false => self.record_claim_answer(side, id, ClaimPhase::Granted),
         }
-        self.claim(now, id);
+        self.claim_job(now, id);
     }
 
     /// Whether the entry waits for another one at a side that ranks before this one.
@@ -229,16 +229,16 @@
     }
 
     /// An answer has come: the claim is to be renewed only if the job outlasts its time.
-    fn note_answer_of(&mut self, side: &NodeName, id: JobId, phase: ClaimPhase) {
+    fn record_claim_answer(&mut self, side: &NodeName, id: JobId, phase: ClaimPhase) {
         let job = self.jobs.get_mut(&id);
-        if let Some(asked) = job.and_then(|job| job.claim.at_mut(side)) {
+        if let Some(asked) = job.and_then(|job| job.claim.asked_mut(side)) {
             asked.phase = phase;
             asked.due = asked.renewal;
         }
     }
 
     /// All sides that were to be asked have granted a job.
-    fn claim_granted(&mut self, now: Moment, id: JobId) {
+    fn complete_claim(&mut self, now: Moment, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -248,25 +248,25 @@
         job.claim.is_lost = false;
         let is_first = !std::mem::replace(&mut job.claim.was_granted, true);
         if is_first {
-            self.begin_patience(now, id);
+            self.begin_start_timeout(now, id);
         }
         self.queue_job(now, id);
     }
 
     /// Another entry has the job at a side. If it got it while this one was out of touch with all that had granted it, this
     /// one gives it up: the copy is newer.
-    fn held_at(&mut self, now: Moment, side: &NodeName, id: JobId, holder: NodeName) {
-        self.note_answer_of(side, id, ClaimPhase::Held);
+    fn handle_held(&mut self, now: Moment, side: &NodeName, id: JobId, holder: NodeName) {
+        self.record_claim_answer(side, id, ClaimPhase::Held);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         if job.claim.is_granted {
-            self.plan_claim(id);
+            self.schedule_claim(id);
             return;
         }
         job.claim.is_lost = true;
         let has_begun = job.may_have_begun();
-        let is_news = !std::mem::replace(&mut job.claim.was_elsewhere, true);
+        let is_news = !std::mem::replace(&mut job.claim.was_held_elsewhere, true);
         let request_id = Arc::clone(&job.request.request_id);
         match has_begun {
             true => self.counters.claims_conflicting += 1,
@@ -281,13 +281,13 @@
         });
         match has_begun {
             true => self.answer(now, id, JobAnswer::TimedOut),
-            false => self.give_back_behind(side, id),
+            false => self.return_grants_behind(side, id),
         }
-        self.plan_claim(id);
+        self.schedule_claim(id);
     }
 
     /// An entry that waits at a side holds nothing that ranks behind it.
-    fn give_back_behind(&mut self, side: &NodeName, id: JobId) {
+    fn return_grants_behind(&mut self, side: &NodeName, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -296,19 +296,19 @@
         let behind = granted.filter(|granted| self.ranks_before(id, side, &granted.name));
         let behind: Vec<NodeName> = behind.map(|granted| granted.name.clone()).collect();
         for granted in behind {
-            self.give_back(&granted, id);
+            self.return_grant(&granted, id);
         }
     }
 
     /// A job looks for room from now on.
-    fn begin_patience(&mut self, now: Moment, id: JobId) {
+    fn begin_start_timeout(&mut self, now: Moment, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if !self.patience.remove(&(job.patience_ends, id)) {
+        if !self.start_timeouts.remove(&(job.start_timeout_at, id)) {
             return;
         }
-        job.patience_ends = job.patience_ends + now.since(job.arrived);
-        self.patience.insert((job.patience_ends, id));
+        job.start_timeout_at = job.start_timeout_at + now.since(job.arrived);
+        self.start_timeouts.insert((job.start_timeout_at, id));
     }
 }
--- a/crates/mastknot_core/src/scheduler/job_ends.rs
+++ b/crates/mastknot_core/src/scheduler/job_ends.rs
@@ -15,11 +15,11 @@
 
 /// On so many sides a task must have ended for reasons that are put down to targets before they are put down to it. A
 /// task is not started again where it ended so while another side has room, and few targets are bad at a time.
-const SIDES_THAT_TELL: u32 = 3;
+const MIN_SIDES_TO_ATTRIBUTE: u32 = 3;
 
 impl JobScheduler {
     /// A run is over.
-    pub(super) fn run_over(&mut self, now: Moment, side: &NodeName, ended: &EndedRun) {
+    pub(super) fn handle_run_end(&mut self, now: Moment, side: &NodeName, ended: &EndedRun) {
         let run = ended.run;
         let view = self.sides.get_mut(side);
         let Some(id) = view.and_then(|view| view.runs.swap_remove(&run)) else {
@@ -33,7 +33,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let Some(place) = job.find(&run.task) else {
+        let Some(place) = job.task_index(&run.task) else {
             return;
         };
         let is_current = matches!(
@@ -59,7 +59,7 @@
             EndOfRun::Failed {
                 is_target_suspect: true,
             }
-            | EndOfRun::Stalled => task.note_unclear_end(side),
+            | EndOfRun::Stalled => task.record_ambiguous_failure(side),
             EndOfRun::Lost => task.avoid(side),
             EndOfRun::Crashed => {
                 task.crashes += 1;
@@ -70,12 +70,12 @@
             EndOfRun::Stopped | EndOfRun::NotRun(_) => {}
         }
         if matches!(ended.end, EndOfRun::NotRun(_)) {
-            job.not_begun += 1;
+            job.starts_not_run += 1;
             self.demand.obtained.subtract(job.task_work(place));
         }
         let kind = job.kind(place);
         let room = job.step(place).required_capacity;
-        let guess = job.step(place).estimate;
+        let estimate = job.step(place).estimate;
         let queue = Arc::clone(&job.policy.name);
         let failures = job.tasks[place].counted_failures();
         let crashes = job.tasks[place].crashes;
@@ -101,7 +101,7 @@
         }
         if ended.end == EndOfRun::Done {
             self.learn_run_time(id, run.task.step);
-            self.record_slowdown(&queue, side, guess, ended.ran());
+            self.record_slowdown(&queue, side, estimate, ended.ran());
             self.kind_loads.record(kind, &room, ended.ran());
             self.containment.record_success(kind);
         }
@@ -128,7 +128,7 @@
             return;
         };
         if job.is_over {
-            self.forget_if_quiet(id);
+            self.remove_if_idle(id);
             return;
         }
         if end == EndOfRun::Done {
@@ -169,11 +169,11 @@
                 self.send(session, EntryOrder::Stop(run));
             }
         }
-        self.forget_if_quiet(id);
+        self.remove_if_idle(id);
     }
 
-    fn forget_if_quiet(&mut self, id: JobId) {
-        let is_quiet = |job: &super::active_job::ActiveJob| job.is_over && job.ordered() == 0;
+    fn remove_if_idle(&mut self, id: JobId) {
+        let is_quiet = |job: &super::active_job::ActiveJob| job.is_over && job.ordered_tasks() == 0;
         if self.jobs.get(&id).is_some_and(is_quiet) {
             self.release_claim(id);
             self.jobs.remove(&id);
@@ -197,24 +197,24 @@
 
 impl super::active_job::ActiveTask {
     /// The caller asks for the job anew.
-    pub(super) fn forget_ends(&mut self) {
+    pub(super) fn reset_failures(&mut self) {
         self.failures = 0;
-        self.unclear_ends = 0;
-        self.unclear_sides = 0;
+        self.ambiguous_failures = 0;
+        self.ambiguous_failure_sides = 0;
     }
 
     /// A run ended by its own fault or that of its target.
-    fn note_unclear_end(&mut self, side: &NodeName) {
-        self.unclear_ends += 1;
-        self.unclear_sides += u32::from(!self.avoided.contains(side));
+    fn record_ambiguous_failure(&mut self, side: &NodeName) {
+        self.ambiguous_failures += 1;
+        self.ambiguous_failure_sides += u32::from(!self.avoided.contains(side));
         self.avoid(side);
     }
 
     /// Failures of the task that count. What targets seem to be at fault for counts as well once it has come about
     /// on several of them: where half of the jobs are bad all targets seem so.
     fn counted_failures(&self) -> u32 {
-        match self.unclear_sides >= SIDES_THAT_TELL {
-            true => self.failures + self.unclear_ends,
+        match self.ambiguous_failure_sides >= MIN_SIDES_TO_ATTRIBUTE {
+            true => self.failures + self.ambiguous_failures,
             false => self.failures,
         }
     }
--- a/crates/mastknot_core/src/scheduler/job_scheduler.rs
+++ b/crates/mastknot_core/src/scheduler/job_scheduler.rs
@@ -9,11 +9,11 @@
 use super::containment::Containment;
 use super::crash_history::CrashHistory;
 use super::demand_forecast::DemandForecast;
-use super::held_grants::ToldNeed;
+use super::held_grants::ReportedNeed;
 use super::kind_loads::KindLoads;
 use super::learned_priors::LearnedPriors;
 use super::run_times::RunTimes;
-use super::side_links::Greeting;
+use super::side_links::PendingHandshake;
 use super::side_view::SideView;
 use super::yielding::Yielding;
 use super::{
@@ -38,25 +38,25 @@
     pub(super) waiting: BTreeMap<OrderKey, JobId>,
     pub(super) deadlines: BTreeSet<(Moment, JobId)>,
     /// When jobs are refused of which nothing has begun.
-    pub(super) patience: BTreeSet<(Moment, JobId)>,
+    pub(super) start_timeouts: BTreeSet<(Moment, JobId)>,
     /// When claims of jobs are to be renewed, or their answers are missed.
     pub(super) claims_due: BTreeSet<(Moment, JobId)>,
     /// When the first of the links that have gone is waited for no more.
-    pub(super) links_awaited: Option<Moment>,
+    pub(super) links_awaited_until: Option<Moment>,
     /// Whether no link has been in use since the last one was lost.
-    pub(super) is_cut_off: bool,
+    pub(super) is_disconnected: bool,
     pub(super) sides: IndexMap<NodeName, SideView>,
     pub(super) sessions: HashMap<SessionId, NodeName>,
     /// Links whose sides have not answered the welcome yet, the oldest first.
-    pub(super) greetings: IndexMap<SessionId, Greeting>,
+    pub(super) pending_handshakes: IndexMap<SessionId, PendingHandshake>,
     /// Before this no side is due for a heartbeat, silent for too long or rid of lost runs: steps until then
     /// look at no side but that of their event.
     pub(super) sides_due: Option<Moment>,
     /// Links came or went since the holders of the configuration were chosen.
-    pub(super) is_holder_choice_stale: bool,
+    pub(super) is_document_holder_choice_stale: bool,
     pub(super) entries: Vec<KnownEntry>,
     /// The digest of the entries that are known.
-    pub(super) directory: u64,
+    pub(super) entries_digest: u64,
     /// The halls that operators have drained.
     pub(super) drained_halls: Arc<DrainedHalls>,
     /// How halls share room that is short.
@@ -65,8 +65,8 @@
     pub(super) last_ranked_submission: Option<Moment>,
     /// The configuration in force.
     pub(super) document: Option<ConfigDocument>,
-    pub(super) fetch: DocumentFetch<SessionId>,
-    pub(super) documents: DocumentServer<SessionId>,
+    pub(super) document_fetch: DocumentFetch<SessionId>,
+    pub(super) document_server: DocumentServer<SessionId>,
     pub(super) next_sequence: u64,
     pub(super) run_times: RunTimes,
     /// Crashes of targets, and what ran there.
@@ -84,18 +84,18 @@
     pub(super) demand: DemandForecast,
     /// Who waits for others while room is short for a moment.
     pub(super) yielding: Yielding,
-    pub(super) has_told_waiting: bool,
+    pub(super) has_reported_waiting: bool,
     /// Whether jobs have come to queues that compete by priority.
     pub(super) has_ranked_queues: bool,
     /// The most urgent priority of those queues.
-    pub(super) first_priorities: HashMap<Arc<str>, u32>,
+    pub(super) most_urgent_priorities: HashMap<Arc<str>, u32>,
     /// What sides were last told at once that waits here.
-    pub(super) told_need: Option<ToldNeed>,
+    pub(super) reported_need: Option<ReportedNeed>,
     /// When the first of the grants ends that are held.
-    pub(super) grants_end: Option<Moment>,
+    pub(super) grants_expire_at: Option<Moment>,
     pub(super) active_links: ActiveLinks,
     /// The place of the side that was last told first.
-    pub(super) next_told: usize,
+    pub(super) last_notified: usize,
     pub(super) counters: SchedulerCounters,
     pub(super) effects: Vec<SchedulerEffect>,
 }
@@ -110,23 +110,23 @@
             callers: HashMap::new(),
             waiting: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            patience: BTreeSet::new(),
+            start_timeouts: BTreeSet::new(),
             claims_due: BTreeSet::new(),
-            links_awaited: None,
-            is_cut_off: false,
+            links_awaited_until: None,
+            is_disconnected: false,
             sides: IndexMap::new(),
             sessions: HashMap::new(),
-            greetings: IndexMap::new(),
+            pending_handshakes: IndexMap::new(),
             sides_due: None,
-            is_holder_choice_stale: false,
+            is_document_holder_choice_stale: false,
             entries: Vec::new(),
-            directory: 0,
+            entries_digest: 0,
             drained_halls: Arc::default(),
             weights: Arc::default(),
             last_ranked_submission: None,
             document: None,
-            fetch: DocumentFetch::new(first_choice),
-            documents: DocumentServer::default(),
+            document_fetch: DocumentFetch::new(first_choice),
+            document_server: DocumentServer::default(),
             next_sequence: 0,
             run_times: RunTimes::default(),
             crashes: CrashHistory::default(),
@@ -138,13 +138,13 @@
             last_event_at: Moment::default(),
             demand: DemandForecast::default(),
             yielding: Yielding::default(),
-            has_told_waiting: false,
+            has_reported_waiting: false,
             has_ranked_queues: false,
-            first_priorities: HashMap::new(),
-            told_need: None,
-            grants_end: None,
+            most_urgent_priorities: HashMap::new(),
+            reported_need: None,
+            grants_expire_at: None,
             active_links: ActiveLinks::default(),
-            next_told: 0,
+            last_notified: 0,
             counters: SchedulerCounters::default(),
             effects: Vec::new(),
         }
@@ -156,20 +156,20 @@
     pub fn step(&mut self, now: Moment, event: SchedulerEvent) -> Vec<SchedulerEffect> {
         self.last_event_at = now;
         self.expire_jobs(now);
-        self.end_patience(now);
-        self.end_silent_links(now);
-        self.end_unanswered_greetings(now);
-        self.end_old_grants(now);
-        self.look_after_claims(now);
+        self.expire_start_timeouts(now);
+        self.close_silent_links(now);
+        self.close_unanswered_handshakes(now);
+        self.expire_grants(now);
+        self.maintain_claims(now);
         self.handle(now, event);
         self.end_lost_runs(now);
         self.release_healthy_kinds(now);
         self.place_waiting(now);
         self.review_waiting(now);
         self.adjust_active_links(now);
-        self.beat(now);
+        self.send_heartbeats(now);
         self.relay_documents(now);
-        self.plan_sides(now);
+        self.schedule_sides(now);
         std::mem::take(&mut self.effects)
     }
 
@@ -242,7 +242,7 @@
     /// The next moment at which time alone changes something.
     pub fn next_tick(&self) -> Option<Moment> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
-        let patience = self.patience.first().map(|(at, _)| *at);
+        let patience = self.start_timeouts.first().map(|(at, _)| *at);
         // The first waiting job's outlook worsens then.
         let outlook = self.waiting.keys().next().map(|key| key.latest_start);
         let outlook = outlook.filter(|at| *at > self.last_event_at);
@@ -250,9 +250,9 @@
             .into_iter()
             .chain(patience)
             .chain(self.sides_due)
-            .chain(self.greetings_due())
+            .chain(self.handshakes_due())
             .chain(outlook)
-            .chain(self.turn_due())
+            .chain(self.yielding_due())
             .chain(self.claims_due())
             .chain(self.review_due())
             .chain(self.relay_due())
--- a/crates/mastknot_core/src/scheduler/job_work.rs
+++ b/crates/mastknot_core/src/scheduler/job_work.rs
@@ -12,7 +12,7 @@
     }
 
     /// The room that its waiting tasks take, in thousandths of a core.
-    pub(crate) fn waiting_room(&self) -> u64 {
+    pub(crate) fn waiting_cpu_millis(&self) -> u64 {
         let waiting = self.waiting_tasks().into_iter();
         waiting
             .map(|task| u64::from(self.step(task).required_capacity.cpu_millis))
@@ -27,7 +27,7 @@
     }
 
     /// The work of all its tasks.
-    pub(crate) fn whole_work(&self) -> u64 {
+    pub(crate) fn total_work(&self) -> u64 {
         (0..self.tasks.len()).map(|task| self.task_work(task)).sum()
     }
 
--- a/crates/mastknot_core/src/scheduler/order_key.rs
+++ b/crates/mastknot_core/src/scheduler/order_key.rs
@@ -20,7 +20,7 @@
     /// Whether its kind is contained: it waits for other targets than the rest does.
     pub is_contained: bool,
     /// What can still be in time goes before what can't.
-    pub outlook: CompletionForecast,
+    pub completion_forecast: CompletionForecast,
     /// Whether nothing of it has begun: a job that has begun earns nothing until all of it is done,
     /// so it is finished first, whatever its queue's priority, unless it gives way. Where room is granted this does not count for the most
     /// urgent queues, which take their turn by priority alone.
@@ -51,7 +51,7 @@
     /// The first place of those whose kinds are contained.
     pub(crate) const FIRST_CONTAINED: Self = Self {
         is_contained: true,
-        outlook: CompletionForecast::InTime,
+        completion_forecast: CompletionForecast::InTime,
         is_new: false,
         priority: 0,
         latest_start: Moment::from_micros(0),
@@ -59,14 +59,14 @@
     };
 
     /// Whether a job of this rank goes before all new jobs but those of the most urgent queues.
-    pub(crate) fn goes_before_new(rank: u8) -> bool {
+    pub(crate) fn goes_before_new_jobs(rank: u8) -> bool {
         u32::from(rank) <= LOWEST_PRIORITY
     }
 
     /// Outlook, whether it has begun, and priority in one number: the lowest is the most urgent.
     /// Sides offer their room by it, so that all entries finish what has begun first.
     pub fn rank(&self) -> u8 {
-        let class = self.outlook as u8 * 2 + u8::from(self.is_new);
+        let class = self.completion_forecast as u8 * 2 + u8::from(self.is_new);
         let priority = self.priority.min(LOWEST_PRIORITY);
         class * (LOWEST_PRIORITY as u8 + 1) + priority as u8
     }
@@ -75,7 +75,11 @@
 impl JobTimes {
     /// What a job can still earn whose longest remaining chain of work takes `chain`, and the last
     /// moment to start it.
-    pub(crate) fn outlook(&self, now: Moment, chain: Duration) -> (CompletionForecast, Moment) {
+    pub(crate) fn completion_forecast(
+        &self,
+        now: Moment,
+        chain: Duration,
+    ) -> (CompletionForecast, Moment) {
         let end = now + chain;
         let (outlook, by) = if end <= self.objective {
             (CompletionForecast::InTime, self.objective)
@@ -89,23 +93,23 @@
 }
 
 /// A caller that comes back when it was told to goes before those of its priority that are this much newer at most.
-const RETURNED_HEAD_START: Duration = Duration::from_millis(200);
+const RETURNING_HEAD_START: Duration = Duration::from_millis(200);
 
 impl ActiveJob {
     fn head_start(&self) -> Duration {
         match self.forecast.has_returned_on_time {
-            true => RETURNED_HEAD_START,
+            true => RETURNING_HEAD_START,
             false => Duration::ZERO,
         }
     }
 
     /// Its place among the waiting jobs.
     pub(crate) fn order_key(&self, now: Moment, is_contained: bool, goes_first: bool) -> OrderKey {
-        let (outlook, latest_start) = self.times.outlook(now, self.remaining_chain());
+        let (outlook, latest_start) = self.times.completion_forecast(now, self.remaining_chain());
         let latest_start = latest_start - self.head_start();
         OrderKey {
             is_contained,
-            outlook,
+            completion_forecast: outlook,
             priority: self.policy.priority,
             is_new: !self.may_have_begun() && !goes_first,
             latest_start,
--- a/crates/mastknot_core/src/scheduler/placing.rs
+++ b/crates/mastknot_core/src/scheduler/placing.rs
@@ -18,15 +18,15 @@
 /// After so many jobs that found no room the rest waits too.
 const MAX_MISSES: usize = 4;
 /// A target this much slower than the middle one, in percent, is only tried now and then.
-const SLOW_AGAINST_MEDIAN_PERCENT: u32 = 250;
+const SLOW_LIMIT_PERCENT: u32 = 250;
 /// How often all entries together try a slow target: each try is a task that probably ends late.
-const SLOW_TARGET_TRIED_EVERY: Duration = Duration::from_secs(1);
+const SLOW_TARGET_TRIAL_INTERVAL: Duration = Duration::from_secs(1);
 /// Added to the score of a side where the task has failed before, in thousandths of a full target.
 const AVOIDED_PENALTY: u32 = 4_000;
 /// Added to the score of a side for a suspect whose kind would have other targets if it were contained.
-const UNLIKELY_PENALTY: u32 = 1_400;
+const OUTSIDE_LIKELY_PART_PENALTY: u32 = 1_400;
 /// Added to the score of a side in another rack than the task's data.
-const FAR_PENALTY: u32 = 600;
+const OTHER_RACK_PENALTY: u32 = 600;
 /// Added to the score of a target on probation.
 const PROBATION_PENALTY: u32 = 2_000;
 
@@ -48,15 +48,15 @@
         if self.waiting.is_empty() {
             return;
         }
-        self.refresh_outlooks(now);
+        self.refresh_completion_forecasts(now);
         let candidates = self.candidates(now);
         // Jobs of contained kinds wait for targets of their own: neither sort holds the other up.
-        let free = self.take_turns(now, &candidates, MAX_SCANNED);
+        let free = self.jobs_in_turn(now, &candidates, MAX_SCANNED);
         let contained = first_jobs(self.waiting.range(OrderKey::FIRST_CONTAINED..));
         let misses = self.place_jobs(now, &free, &candidates);
         let contained_misses = self.place_jobs(now, &contained, &candidates);
         if misses + contained_misses > 0 {
-            self.give_up_hopeless(now);
+            self.give_up_infeasible(now);
         }
     }
 
@@ -70,7 +70,7 @@
             }
             if candidates.is_empty() || !self.place_job(now, *id, candidates) {
                 misses += 1;
-                self.note_no_room(now, *id);
+                self.record_no_capacity(now, *id);
             }
             if misses >= MAX_MISSES {
                 break;
@@ -89,8 +89,8 @@
             return Vec::new();
         }
         let entries = self.entries.len().max(1) as u32;
-        let pause = SLOW_TARGET_TRIED_EVERY * entries;
-        let median_pace = self.median_pace();
+        let pause = SLOW_TARGET_TRIAL_INTERVAL * entries;
+        let median_pace = self.median_slowdown_percent();
         let candidates = with_room.into_iter().map(|place| Candidate {
             side_index: place,
             is_slow: is_slow(&self.sides[place], median_pace),
@@ -104,7 +104,7 @@
     /// What waits here, as far as it is as urgent as the first of it.
     pub(super) fn waiting_need(&self, now: Moment) -> Option<WaitingNeed> {
         // Contained kinds have targets of their own, where others take no room from them.
-        let free = self.waiting_free();
+        let free = self.waiting_uncontained();
         let in_turn = free.filter(|(key, id)| self.waits_until(now, key, id).is_none());
         let mut in_turn = in_turn.take(MAX_SCANNED).peekable();
         let rank = in_turn.peek()?.0.rank();
@@ -140,8 +140,8 @@
 
     /// Gives up jobs that found no room and can't end while they are worth anything: their callers
     /// learn so at once, and what still runs of them is stopped for others.
-    fn give_up_hopeless(&mut self, now: Moment) {
-        let is_hopeless = |key: &OrderKey| key.outlook == CompletionForecast::Hopeless;
+    fn give_up_infeasible(&mut self, now: Moment) {
+        let is_hopeless = |key: &OrderKey| key.completion_forecast == CompletionForecast::Hopeless;
         let free = self.waiting.range(..OrderKey::FIRST_CONTAINED).rev();
         let free = free.take_while(|(key, _)| is_hopeless(key));
         let contained = self.waiting.range(OrderKey::FIRST_CONTAINED..);
@@ -160,12 +160,12 @@
     }
 
     /// Lowers the order of jobs that can no longer be in time.
-    fn refresh_outlooks(&mut self, now: Moment) {
+    fn refresh_completion_forecasts(&mut self, now: Moment) {
         let first = self.waiting.iter().take(MAX_SCANNED);
         let contained = self.waiting.range(OrderKey::FIRST_CONTAINED..);
         let stale = first.chain(contained.take(MAX_SCANNED));
         let stale = stale.filter(|(key, _)| {
-            key.outlook != CompletionForecast::Hopeless && key.latest_start < now
+            key.completion_forecast != CompletionForecast::Hopeless && key.latest_start < now
         });
         let stale: Vec<JobId> = stale.map(|(_, id)| *id).collect();
         for id in stale {
@@ -173,7 +173,7 @@
         }
     }
 
-    fn median_pace(&self) -> u32 {
+    fn median_slowdown_percent(&self) -> u32 {
         let sides = self.sides.values().filter(|side| side.takes_work());
         let mut paces: Vec<u32> = sides.map(|side| side.slowdown_percent).collect();
         paces.sort_unstable();
@@ -203,7 +203,7 @@
         }
         self.queue_job(now, id);
         if all_placed {
-            self.note_placed_whole(now, id);
+            self.record_fully_placed(now, id);
         }
         all_placed
     }
@@ -234,11 +234,11 @@
         let fitting = sides.filter(|(_, name, side)| {
             is_suitable(job, task, side)
                 && self.is_allowed_by_isolation(now, job, task, side)
-                && has_capacity_for_step(job, task, name)
+                && is_below_step_limit(job, task, name)
                 && suspect.is_none_or(|ran| !self.runs_similar_suspect(now, ran, side))
         });
         let best = fitting.min_by_key(|(place, name, side)| {
-            let unlikely = u32::from(is_unlikely(place)) * UNLIKELY_PENALTY;
+            let unlikely = u32::from(is_unlikely(place)) * OUTSIDE_LIKELY_PART_PENALTY;
             let speed = self.speed_penalty(now, job, task, side);
             score(job, task, name, side) + self.scatter_penalty(job, task, name) + unlikely + speed
         });
@@ -283,7 +283,7 @@
             view_age_ms: now.since(view.last_received_at).as_millis() as u64,
             completion_forecast: job
                 .key
-                .map_or(CompletionForecast::InTime, |key| key.outlook),
+                .map_or(CompletionForecast::InTime, |key| key.completion_forecast),
             waited_ms: now.since(job.arrived).as_millis() as u64,
         };
         view.record_start(now, run, id, room);
@@ -342,7 +342,7 @@
 }
 
 fn is_slow(side: &SideView, median_pace: u32) -> bool {
-    let limit = median_pace.max(50) * SLOW_AGAINST_MEDIAN_PERCENT / 100;
+    let limit = median_pace.max(50) * SLOW_LIMIT_PERCENT / 100;
     side.slowdown_percent > limit
 }
 
@@ -351,7 +351,7 @@
     side.runs.is_empty() && now.since(side.last_start) >= pause
 }
 
-fn has_capacity_for_step(job: &ActiveJob, task: usize, name: &NodeName) -> bool {
+fn is_below_step_limit(job: &ActiveJob, task: usize, name: &NodeName) -> bool {
     let most = usize::from(job.step(task).max_per_target);
     if most == 0 {
         return true;
@@ -385,7 +385,7 @@
     }
     let is_far = spec.preferred_rack.iter().any(|rack| !side.has_label(rack));
     if is_far {
-        score += FAR_PENALTY;
+        score += OTHER_RACK_PENALTY;
     }
     score
 }
--- a/crates/mastknot_core/src/scheduler/relaying.rs
+++ b/crates/mastknot_core/src/scheduler/relaying.rs
@@ -11,11 +11,11 @@
 /// So many sides hold the configuration for entries that start, or are turned away, while the store is out
 /// of reach: enough to outlast the loss of most sides, few enough to cost few bytes a version. An entry that still
 /// runs gives it to others too.
-const HOLDERS: usize = 8;
+const DOCUMENT_HOLDERS: usize = 8;
 /// The store usually tells of a version within milliseconds: only after this others are asked for it.
-const PATIENCE: Duration = Duration::from_millis(500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same for an entry that has no configuration yet and refuses all that comes.
-const FIRST_PATIENCE: Duration = Duration::from_millis(30);
+const FIRST_STORE_TIMEOUT: Duration = Duration::from_millis(30);
 
 impl JobScheduler {
     /// The version of the configuration in force, 0 without one.
@@ -24,10 +24,10 @@
     }
 
     /// What sides are told of what is known here.
-    pub(super) fn news(&self) -> EntryUpdate {
+    pub(super) fn entry_update(&self) -> EntryUpdate {
         EntryUpdate {
             config_version: self.document_version(),
-            directory: self.directory,
+            directory: self.entries_digest,
             drained: Arc::clone(&self.drained_halls),
             grants_capacity: self.uses_capacity_grants(),
             shares_capacity: self.shares_capacity(),
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn set_entries(&mut self, entries: Vec<KnownEntry>) {
-        self.directory = crate::job::directory_digest(&entries);
+        self.entries_digest = crate::job::directory_digest(&entries);
         self.entries = entries;
     }
 
@@ -45,13 +45,13 @@
         if document.version > self.document_version() {
             self.document = Some(document);
             // Queues may have other priorities now; their next jobs tell.
-            self.first_priorities.clear();
-            self.tell_holders();
+            self.most_urgent_priorities.clear();
+            self.notify_document_holders();
         }
     }
 
     /// The holders hear at once of a version, also on standby.
-    fn tell_holders(&mut self) {
+    fn notify_document_holders(&mut self) {
         for side in self.sides.values_mut() {
             side.needs_heartbeat |= side.holds_documents;
         }
@@ -62,15 +62,15 @@
     ///
     /// Done once for all links that came or went since the last heartbeats: a choice looks at all sides, and
     /// 240 of them link within a moment as an entry starts.
-    pub(super) fn choose_holders(&mut self) {
-        if !std::mem::take(&mut self.is_holder_choice_stale) {
+    pub(super) fn choose_document_holders(&mut self) {
+        if !std::mem::take(&mut self.is_document_holder_choice_stale) {
             return;
         }
         let linked = self.sides.iter().filter(|(_, side)| side.session.is_some());
         let ranked = linked.map(|(name, _)| (stable_hash(&[name]), name.clone()));
         let mut ranked: Vec<(u32, NodeName)> = ranked.collect();
         ranked.sort_unstable();
-        ranked.truncate(HOLDERS);
+        ranked.truncate(DOCUMENT_HOLDERS);
         for (name, side) in &mut self.sides {
             let holds = ranked.iter().any(|(_, holder)| holder == name);
             // A side on standby that holds no more would learn it only after it had fetched a version in vain.
@@ -81,8 +81,8 @@
 
     /// A link is gone, and with it what was asked there.
     pub(super) fn forget_link(&mut self, session: SessionId) {
-        self.fetch.forget(session);
-        self.documents.forget(session);
+        self.document_fetch.forget(session);
+        self.document_server.forget(session);
     }
 
     pub(super) fn send_entries(&mut self, session: SessionId) {
@@ -93,25 +93,28 @@
     /// Sends what sides have asked for, and asks for what is newer elsewhere.
     pub(super) fn relay_documents(&mut self, now: Moment) {
         let link = self.settings.link;
-        let part = self.documents.poll(now, self.document.as_ref(), link);
+        let part = self.document_server.poll(now, self.document.as_ref(), link);
         if let Some((session, part)) = part {
             self.send(session, EntryOrder::DocumentPart(part));
         }
         let known = self.document_version();
-        if let Some((session, request)) = self.fetch.poll(now, known, self.patience(), link) {
+        if let Some((session, request)) =
+            self.document_fetch
+                .poll(now, known, self.store_timeout(), link)
+        {
             self.send(session, EntryOrder::FetchDocument(request));
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn store_timeout(&self) -> Duration {
         match self.document {
-            Some(_) => PATIENCE,
-            None => FIRST_PATIENCE,
+            Some(_) => STORE_TIMEOUT,
+            None => FIRST_STORE_TIMEOUT,
         }
     }
 
-    pub(super) fn take_part(&mut self, session: SessionId, part: DocumentPart) {
-        let whole = self.fetch.receive_part(session, part);
+    pub(super) fn accept_document_part(&mut self, session: SessionId, part: DocumentPart) {
+        let whole = self.document_fetch.receive_part(session, part);
         let known = self.document_version();
         if let Some(document) = whole.filter(|whole| whole.version > known) {
             self.effects.push(SchedulerEffect::Document(document));
@@ -120,8 +123,8 @@
 
     /// When something of this is due.
     pub(super) fn relay_due(&self) -> Option<Moment> {
-        let fetched = self.fetch.next_tick(self.patience());
-        let served = self.documents.next_tick();
+        let fetched = self.document_fetch.next_tick(self.store_timeout());
+        let served = self.document_server.next_tick();
         fetched.into_iter().chain(served).min()
     }
 }
--- a/crates/mastknot_core/src/scheduler/reviewing.rs
+++ b/crates/mastknot_core/src/scheduler/reviewing.rs
@@ -15,7 +15,7 @@
 use crate::types::Moment;
 
 /// The part of the entry's room that those who come back may have at least, however much comes as a rule.
-const LEAST_SPARE: f64 = 0.1;
+const MIN_SPARE_SHARE: f64 = 0.1;
 
 impl JobScheduler {
     /// Refuses waiting jobs that the forecast denies; a new job is looked at at once.
@@ -56,8 +56,8 @@
     }
 
     /// Whether the forecast decides on a job in place of the bounded patience.
-    pub(super) fn is_forecast(&self, now: Moment, id: JobId) -> bool {
-        let is_on = |job: &ActiveJob| self.forecasts(job);
+    pub(super) fn is_decided_by_forecast(&self, now: Moment, id: JobId) -> bool {
+        let is_on = |job: &ActiveJob| self.uses_forecast(job);
         let job = self.jobs.get(&id).filter(|job| is_on(job));
         job.is_some_and(|job| {
             self.load_view_where(now, serves(&job.policy.service))
@@ -66,11 +66,11 @@
     }
 
     /// A new job counts as arriving work, and goes before newer ones if its caller keeps to the time that it was told.
-    pub(super) fn note_arrival(&mut self, now: Moment, job: &mut ActiveJob) {
+    pub(super) fn record_arrival(&mut self, now: Moment, job: &mut ActiveJob) {
         if !job.policy.is_ranked || !self.settings.scarcity.forecast {
             return;
         }
-        let work = job.whole_work();
+        let work = job.total_work();
         let priority = job.policy.priority;
         self.demand.recent_arrivals.record(now, priority, work);
         self.demand.has_new_job = true;
@@ -83,23 +83,23 @@
 
     /// When the caller of a job that is refused is to come back.
     pub(super) fn retry_after(&mut self, now: Moment, id: JobId) -> Duration {
-        let Some(job) = self.jobs.get(&id).filter(|job| self.forecasts(job)) else {
+        let Some(job) = self.jobs.get(&id).filter(|job| self.uses_forecast(job)) else {
             return self.settings.retry_after;
         };
-        let work = job.whole_work();
+        let work = job.total_work();
         let view = self.load_view_where(now, serves(&job.policy.service));
         if !view.is_known() {
             return self.settings.retry_after;
         }
         let rate = view.rate(u8::MAX) * self.demand.obtained.ratio();
         let spare = rate - self.demand.usual_arrivals.total_rate(now);
-        let spare = spare.max(rate * LEAST_SPARE);
+        let spare = spare.max(rate * MIN_SPARE_SHARE);
         let wait = job.forecast.refused_wait;
         self.demand.retries.schedule(now, id, wait, work, spare)
     }
 
     /// All tasks of a job that could wait have been placed: what was forecast of it is compared with what came.
-    pub(super) fn note_placed_whole(&mut self, now: Moment, id: JobId) {
+    pub(super) fn record_fully_placed(&mut self, now: Moment, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -117,7 +117,7 @@
         });
     }
 
-    fn forecasts(&self, job: &ActiveJob) -> bool {
+    fn uses_forecast(&self, job: &ActiveJob) -> bool {
         let is_contained = self.contained_kind(job).is_some();
         self.settings.scarcity.forecast && job.policy.is_ranked && !is_contained
     }
@@ -150,7 +150,7 @@
             if job.policy.service != *service {
                 continue;
             }
-            let room = job.waiting_room();
+            let room = job.waiting_cpu_millis();
             if !self.refuse_if_denied(now, view, &key, id, ahead) {
                 ahead += room;
             }
@@ -167,7 +167,7 @@
         ahead: u64,
     ) -> bool {
         let job = self.jobs.get(&id);
-        let Some(job) = job.filter(|job| !job.may_have_run() && self.forecasts(job)) else {
+        let Some(job) = job.filter(|job| !job.may_have_run() && self.uses_forecast(job)) else {
             return false;
         };
         let forecast = self.forecast_of(now, view, key, job, ahead);
@@ -242,7 +242,7 @@
         let input = ForecastInput {
             rank: key.rank(),
             ahead,
-            required_capacity: job.waiting_room(),
+            required_capacity: job.waiting_cpu_millis(),
             held_for: placed.unwrap_or(job.remaining_chain()),
             smallest: job.smallest_waiting(),
             arriving_rate: self
--- a/crates/mastknot_core/src/scheduler/scheduler_settings.rs
+++ b/crates/mastknot_core/src/scheduler/scheduler_settings.rs
@@ -6,18 +6,18 @@
 use crate::types::{Hall, Incarnation, NodeName};
 
 /// A caller that is refused after a quarter of its objective can still come back in time.
-const DEFAULT_PATIENCE: f64 = 0.25;
+const DEFAULT_START_TIMEOUT_SHARE: f64 = 0.25;
 
 /// So many entries use a side: tasks of several entries fill its room, and each of them costs a heartbeat and
 /// news of each change both ways, whatever the size of the fleet.
 const DEFAULT_ENTRIES_PER_SIDE: usize = 4;
 
 /// An entry uses so many links at least, however many entries there are: a wide job finds choice.
-const DEFAULT_LEAST_LINKS: usize = 16;
+const DEFAULT_MIN_LINKS: usize = 16;
 
 /// An entry uses no more links than this as a rule, however few entries there are: so many targets hold more than
 /// one entry has at a time.
-const DEFAULT_MOST_LINKS: usize = 64;
+const DEFAULT_MAX_LINKS: usize = 64;
 
 /// What a [`JobScheduler`](super::JobScheduler) is set up with.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,7 +38,7 @@
     pub late_factor: u32,
     /// A job of which nothing has begun is refused after this part of its objective, or of its
     /// caller's time if that is shorter.
-    pub patience: f64,
+    pub start_timeout_share: f64,
     /// When a refused caller is told to come back.
     pub retry_after: Duration,
     /// Whether each job is claimed at a side before its first start: needed where another entry may be handed it too.
@@ -64,13 +64,13 @@
             terms: LeaseTerms::default(),
             answer_margin: Duration::from_millis(25),
             late_factor: 3,
-            patience: DEFAULT_PATIENCE,
+            start_timeout_share: DEFAULT_START_TIMEOUT_SHARE,
             retry_after: Duration::from_secs(1),
             claims_jobs: true,
             link: LinkRate::default(),
             entries_per_side: DEFAULT_ENTRIES_PER_SIDE,
-            min_links: DEFAULT_LEAST_LINKS,
-            max_links: DEFAULT_MOST_LINKS,
+            min_links: DEFAULT_MIN_LINKS,
+            max_links: DEFAULT_MAX_LINKS,
         }
     }
 
--- a/crates/mastknot_core/src/scheduler/side_links.rs
+++ b/crates/mastknot_core/src/scheduler/side_links.rs
@@ -13,16 +13,16 @@
 use crate::types::{Moment, NodeName, pair_rank, stable_hash};
 
 /// So many sides are told at once that tasks wait.
-const TOLD_FIRST: usize = 8;
+const NOTIFIED_AT_ONCE: usize = 8;
 /// The most that is added to the score of a side that its entry does not prefer, in thousandths of a
 /// full target.
 const MAX_DISTANCE: u32 = 400;
 /// Heartbeats that would be due within this time are sent together: each wake-up has its cost.
-const SENT_TOGETHER: Duration = Duration::from_millis(25);
+const HEARTBEAT_WINDOW: Duration = Duration::from_millis(25);
 
 /// A side has greeted on a link and has not answered the welcome yet.
 #[derive(Clone, Debug)]
-pub(super) struct Greeting {
+pub(super) struct PendingHandshake {
     at: Moment,
     hello: SideHello,
     /// What the welcome told.
@@ -32,11 +32,11 @@
 impl JobScheduler {
     pub(super) fn handle_report(&mut self, now: Moment, session: SessionId, report: SideReport) {
         if let SideReport::Hello(hello) = report {
-            self.greet(now, session, hello);
+            self.welcome_side(now, session, hello);
             return;
         }
-        if let Some(greeting) = self.greetings.shift_remove(&session) {
-            self.take_link(now, session, greeting);
+        if let Some(greeting) = self.pending_handshakes.shift_remove(&session) {
+            self.establish_link(now, session, greeting);
         }
         let Some(name) = self.sessions.get(&session).cloned() else {
             return;
@@ -52,27 +52,27 @@
                 ended,
                 takes_claims,
             } => {
-                self.note_takes_claims(&name, takes_claims);
+                self.record_takes_claims(&name, takes_claims);
                 self.resume(now, &name, running, ended);
             }
             SideReport::TakesClaims => {
-                self.note_takes_claims(&name, true);
+                self.record_takes_claims(&name, true);
                 self.claim_first_at(now, &name);
             }
-            SideReport::Status(status) => self.take_status(now, session, &name, status),
+            SideReport::Status(status) => self.handle_status(now, session, &name, status),
             SideReport::TargetCrashed(crash) => self.record_crash(now, &name, &crash),
             SideReport::FetchEntries => self.send_entries(session),
-            SideReport::FetchDocument(request) => self.documents.request(session, request),
-            SideReport::DocumentPart(part) => self.take_part(session, part),
-            SideReport::Claim { job, answer } => self.claim_answered(now, &name, job, answer),
+            SideReport::FetchDocument(request) => self.document_server.request(session, request),
+            SideReport::DocumentPart(part) => self.accept_document_part(session, part),
+            SideReport::Claim { job, answer } => self.handle_claim_answer(now, &name, job, answer),
         }
     }
 
     /// Welcomes a side; its link counts once it has answered.
-    fn greet(&mut self, now: Moment, session: SessionId, hello: SideHello) {
+    fn welcome_side(&mut self, now: Moment, session: SessionId, hello: SideHello) {
         let view = self.sides.get(&hello.side);
         let is_holder = view.is_some_and(|view| view.holds_documents);
-        let news = self.news().for_side(is_holder);
+        let news = self.entry_update().for_side(is_holder);
         let welcome = EntryWelcome {
             entry: self.settings.entry.clone(),
             incarnation: self.settings.incarnation,
@@ -81,7 +81,8 @@
             update: news.clone(),
         };
         let at = now;
-        self.greetings.insert(session, Greeting { at, hello, news });
+        self.pending_handshakes
+            .insert(session, PendingHandshake { at, hello, news });
         self.send(session, EntryOrder::Welcome(welcome));
     }
 
@@ -89,7 +90,7 @@
     ///
     /// A greeting alone proves nothing: it may have been held up since before its sender crashed, and then it
     /// would close the link of the life that runs.
-    fn take_link(&mut self, now: Moment, session: SessionId, greeting: Greeting) {
+    fn establish_link(&mut self, now: Moment, session: SessionId, greeting: PendingHandshake) {
         let hello = greeting.hello;
         self.update_drained_halls(now, &hello.drained);
         let is_hall_drained = self.drained_halls.contains(&hello.hall);
@@ -112,21 +113,22 @@
         }
         self.sessions.insert(session, hello.side);
         self.sides_due = Some(now);
-        self.fetch.record_offer(session, hello.config_version);
-        self.is_holder_choice_stale = true;
+        self.document_fetch
+            .record_offer(session, hello.config_version);
+        self.is_document_holder_choice_stale = true;
         self.reassign_reserved_sides();
     }
 
     /// Closes links whose greeting came from nobody who lives.
-    pub(super) fn end_unanswered_greetings(&mut self, now: Moment) {
+    pub(super) fn close_unanswered_handshakes(&mut self, now: Moment) {
         let limit = self.settings.terms.silence;
-        let is_over = |greeting: &Greeting| now.since(greeting.at) >= limit;
+        let is_over = |greeting: &PendingHandshake| now.since(greeting.at) >= limit;
         while self
-            .greetings
+            .pending_handshakes
             .first()
             .is_some_and(|(_, oldest)| is_over(oldest))
         {
-            let Some((session, greeting)) = self.greetings.shift_remove_index(0) else {
+            let Some((session, greeting)) = self.pending_handshakes.shift_remove_index(0) else {
                 return;
             };
             self.counters.greetings_unanswered += 1;
@@ -139,8 +141,8 @@
     }
 
     /// When the oldest greeting counts as unanswered.
-    pub(super) fn greetings_due(&self) -> Option<Moment> {
-        let (_, oldest) = self.greetings.first()?;
+    pub(super) fn handshakes_due(&self) -> Option<Moment> {
+        let (_, oldest) = self.pending_handshakes.first()?;
         Some(oldest.at + self.settings.terms.silence)
     }
 
@@ -158,12 +160,12 @@
         let mut lost = 0;
         for run in held {
             if let Some(end) = ended.get(&run) {
-                self.run_over(now, name, end);
+                self.handle_run_end(now, name, end);
             } else if running.contains(&run) {
                 adopted.extend(self.adoption(name, run));
             } else {
                 lost += 1;
-                self.run_over(now, name, &lost_run(run));
+                self.handle_run_end(now, name, &lost_run(run));
             }
         }
         let kept = adopted.len();
@@ -171,11 +173,11 @@
             && kept > 0
         {
             self.send(session, EntryOrder::Adopt(adopted.clone()));
-            self.stop_unwanted(session, &adopted);
+            self.stop_unwanted_runs(session, &adopted);
         }
         let side = name.clone();
         self.record_decision(SchedulerDecision::SideJoined { side, kept, lost });
-        self.claim_at(now, name);
+        self.claim_at_new_link(now, name);
     }
 
     fn adoption(&self, side: &NodeName, run: RunId) -> Option<AdoptedRun> {
@@ -191,7 +193,7 @@
     }
 
     /// Orders to stop that the earlier link may have lost.
-    fn stop_unwanted(&mut self, session: SessionId, adopted: &[AdoptedRun]) {
+    fn stop_unwanted_runs(&mut self, session: SessionId, adopted: &[AdoptedRun]) {
         for run in adopted {
             let job = self.jobs.get(&run.run.task.job);
             if job.is_none_or(|job| job.is_over) {
@@ -200,7 +202,7 @@
         }
     }
 
-    fn take_status(
+    fn handle_status(
         &mut self,
         now: Moment,
         session: SessionId,
@@ -208,7 +210,7 @@
         status: SideStatus,
     ) {
         if let Some(version) = status.config_version {
-            self.fetch.record_offer(session, version);
+            self.document_fetch.record_offer(session, version);
         }
         if let Some(drained) = &status.drained {
             self.update_drained_halls(now, drained);
@@ -223,8 +225,8 @@
             view.apply_status(now, &status);
             self.counters.grants += u64::from(status.grant.is_some());
             let grant_ends = view.grant.map(|grant| grant.until);
-            let grants_end = self.grants_end.into_iter().chain(grant_ends).min();
-            self.grants_end = grants_end;
+            let grants_end = self.grants_expire_at.into_iter().chain(grant_ends).min();
+            self.grants_expire_at = grants_end;
             if view.has_unanswered_grant {
                 self.sides_due = Some(now);
             } else if status.is_offer {
@@ -244,7 +246,7 @@
             }
         }
         for ended in &status.ended {
-            self.run_over(now, name, ended);
+            self.handle_run_end(now, name, ended);
         }
     }
 
@@ -253,7 +255,7 @@
     }
 
     pub(super) fn drop_link(&mut self, now: Moment, session: SessionId, was_silent: bool) {
-        self.greetings.shift_remove(&session);
+        self.pending_handshakes.shift_remove(&session);
         let Some(name) = self.sessions.remove(&session) else {
             return;
         };
@@ -269,11 +271,11 @@
         let age_ms = now.since(view.last_received_at).as_millis() as u64;
         let runs = view.runs.len();
         self.sides_due = Some(now);
-        self.is_holder_choice_stale = true;
+        self.is_document_holder_choice_stale = true;
         self.reassign_reserved_sides();
         self.fill_active_links(now);
         self.await_link(now, &name);
-        self.move_claims(now, &name);
+        self.reassign_claims(now, &name);
         self.record_decision(SchedulerDecision::SideLeft {
             side: name,
             was_silent,
@@ -283,7 +285,7 @@
     }
 
     /// Gives up links on which nothing was heard.
-    pub(super) fn end_silent_links(&mut self, now: Moment) {
+    pub(super) fn close_silent_links(&mut self, now: Moment) {
         if !self.are_sides_due(now) {
             return;
         }
@@ -313,32 +315,32 @@
             .collect();
         for (name, runs) in over {
             for run in runs {
-                self.run_over(now, &name, &lost_run(run));
+                self.handle_run_end(now, &name, &lost_run(run));
             }
         }
     }
 
     /// Sends heartbeats that are due, answers offers of room, and tells some sides at once when
     /// tasks begin to wait.
-    pub(super) fn beat(&mut self, now: Moment) {
+    pub(super) fn send_heartbeats(&mut self, now: Moment) {
         let has_waiting = self.has_job_in_turn(now);
-        let is_news = has_waiting && !self.has_told_waiting && !self.uses_capacity_grants();
-        self.has_told_waiting = has_waiting;
+        let is_news = has_waiting && !self.has_reported_waiting && !self.uses_capacity_grants();
+        self.has_reported_waiting = has_waiting;
         if is_news {
-            self.mark_told_first();
+            self.mark_first_notified();
             self.sides_due = Some(now);
         }
-        self.tell_new_need(now);
+        self.report_new_need(now);
         if !self.are_sides_due(now) {
             return;
         }
-        self.choose_holders();
+        self.choose_document_holders();
         let terms = self.settings.terms;
         let mut linked = self.sides.values().filter(|side| side.session.is_some());
         let is_time =
             linked.any(|side| now.since(side.heartbeat_sent_at) >= side.heartbeat_interval(&terms));
         let mut beats = Vec::new();
-        let known = self.news();
+        let known = self.entry_update();
         for side in self.sides.values_mut() {
             let Some(session) = side.session else {
                 continue;
@@ -349,7 +351,7 @@
                 side.needs_heartbeat |= is_returned;
             }
             let every = side.heartbeat_interval(&terms);
-            let is_due = is_time && now.since(side.heartbeat_sent_at) + SENT_TOGETHER >= every;
+            let is_due = is_time && now.since(side.heartbeat_sent_at) + HEARTBEAT_WINDOW >= every;
             if std::mem::take(&mut side.needs_heartbeat) || is_due {
                 side.heartbeat_sent_at = now;
                 if side.grant.is_some_and(|grant| grant.is_needed) {
@@ -378,7 +380,7 @@
 
     /// Works out when the sides have to be looked at again; what is heard from them until then only makes
     /// that later.
-    pub(super) fn plan_sides(&mut self, now: Moment) {
+    pub(super) fn schedule_sides(&mut self, now: Moment) {
         if !self.are_sides_due(now) {
             return;
         }
@@ -392,11 +394,11 @@
     }
 
     /// The next few sides in turn are told at once; the others learn it from the usual heartbeat.
-    fn mark_told_first(&mut self) {
+    fn mark_first_notified(&mut self) {
         let sides = self.sides.len();
-        for _ in 0..sides.min(TOLD_FIRST) {
-            self.next_told = (self.next_told + 1) % sides;
-            if let Some((_, side)) = self.sides.get_index_mut(self.next_told) {
+        for _ in 0..sides.min(NOTIFIED_AT_ONCE) {
+            self.last_notified = (self.last_notified + 1) % sides;
+            if let Some((_, side)) = self.sides.get_index_mut(self.last_notified) {
                 side.needs_heartbeat = side.takes_work();
             }
         }
--- a/crates/mastknot_core/src/scheduler/submitting.rs
+++ b/crates/mastknot_core/src/scheduler/submitting.rs
@@ -37,7 +37,7 @@
         }
         self.counters.jobs_taken += 1;
         if policy.is_ranked {
-            self.note_ranked_queue(now, &policy);
+            self.record_ranked_queue(now, &policy);
         }
         self.next_sequence += 1;
         let steps = request.steps.iter();
@@ -51,8 +51,8 @@
         let mut job = ActiveJob {
             kinds,
             expected,
-            patience_ends: now,
-            tasks: ActiveJob::tasks_of(&request),
+            start_timeout_at: now,
+            tasks: ActiveJob::initial_tasks(&request),
             request,
             policy,
             callers: vec![caller],
@@ -67,7 +67,7 @@
             attempts: AttemptNumbers::starting_at(wall),
             first_start: None,
             starts: 0,
-            not_begun: 0,
+            starts_not_run: 0,
             is_over: false,
             claim: match self.settings.claims_jobs {
                 true => ClaimState::default(),
@@ -78,9 +78,12 @@
         };
         job.unblock();
         self.set_times(now, &mut job);
-        self.note_arrival(now, &mut job);
+        self.record_arrival(now, &mut job);
         let objective = job.times.objective.since(now);
-        job.patience_ends = now + objective.min(time_left).mul_f64(self.settings.patience);
+        job.start_timeout_at = now
+            + objective
+                .min(time_left)
+                .mul_f64(self.settings.start_timeout_share);
         let taken = SchedulerDecision::Taken {
             job: id,
             request_id: Arc::clone(&job.request.request_id),
@@ -92,10 +95,10 @@
             waiting_jobs: self.waiting.len(),
         };
         self.deadlines.insert((deadline, id));
-        self.patience.insert((job.patience_ends, id));
+        self.start_timeouts.insert((job.start_timeout_at, id));
         self.jobs.insert(id, job);
         self.record_decision(taken);
-        self.claim(now, id);
+        self.claim_job(now, id);
         self.queue_job(now, id);
         self.give_up_known_crashers(now, id);
         if self.are_all_halls_drained() || self.has_no_usable_reserved_side(id) {
@@ -105,7 +108,7 @@
 
     fn set_times(&self, now: Moment, job: &mut ActiveJob) {
         let chain = job.remaining_chain();
-        let span = job.span(chain);
+        let span = job.latency_objective(chain);
         job.times = JobTimes {
             objective: now + span,
             late: now + span * self.settings.late_factor,
@@ -134,7 +137,7 @@
             job.is_over = false;
             job.arrived = now;
             job.first_start = None;
-            job.tasks.iter_mut().for_each(ActiveTask::forget_ends);
+            job.tasks.iter_mut().for_each(ActiveTask::reset_failures);
         }
         self.deadlines.insert((deadline, id));
         self.record_decision(SchedulerDecision::Rejoined {
@@ -153,7 +156,7 @@
             return;
         };
         let is_contained = self.contained_kind(job).is_some();
-        let goes_first = self.goes_first(&job.policy);
+        let goes_first = self.goes_before_begun(&job.policy);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -189,15 +192,15 @@
 
     /// Refuses jobs that have found no room for a good part of their objective: most of them would
     /// be held in vain, and their callers could come back instead. Where a forecast decides, it knows better.
-    pub(super) fn end_patience(&mut self, now: Moment) {
-        while let Some((at, id)) = self.patience.first().copied() {
+    pub(super) fn expire_start_timeouts(&mut self, now: Moment) {
+        while let Some((at, id)) = self.start_timeouts.first().copied() {
             if at > now {
                 return;
             }
-            self.patience.pop_first();
-            let is_due = |job: &ActiveJob| job.patience_ends == at;
+            self.start_timeouts.pop_first();
+            let is_due = |job: &ActiveJob| job.start_timeout_at == at;
             let is_due = self.jobs.get(&id).is_some_and(is_due);
-            if is_due && !self.is_forecast(now, id) {
+            if is_due && !self.is_decided_by_forecast(now, id) {
                 self.refuse_if_not_started(now, id);
             }
         }
@@ -214,7 +217,7 @@
         if !job.callers.is_empty() || job.is_over {
             return;
         }
-        let runs = job.ordered();
+        let runs = job.ordered_tasks();
         let after_ms = now.since(job.arrived).as_millis() as u64;
         let has_begun = job.may_have_begun();
         self.counters.jobs_abandoned += 1;
@@ -267,7 +270,7 @@
             JobAnswer::TimedOut => self.counters.jobs_timed_out += 1,
         }
         self.record_decision(answered);
-        self.note_answer(now, id, answer, in_time);
+        self.record_answer(now, id, answer, in_time);
         self.end_job(now, id);
     }
 }
