--- a/crates/mastknot_core/src/scheduler/side_links.rs
+++ b/crates/mastknot_core/src/scheduler/side_links.rs
@@ -1,4 +1,4 @@
-//! Links to sides: greeting, resuming, heartbeats, silence.
+//! Links to sides: handshakes, resumption, heartbeats, silence.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -12,31 +12,30 @@
 };
 use crate::types::{Moment, NodeName, pair_rank, stable_hash};
 
-/// So many sides are told at once that tasks wait.
-const TOLD_FIRST: usize = 8;
-/// The most that is added to the score of a side that its entry does not prefer, in thousandths of a
-/// full target.
+/// Number of sides that are notified at once when tasks begin to wait.
+const NOTIFIED_AT_ONCE: usize = 8;
+/// Maximum penalty for a side that its entry does not prefer, in thousandths of a full target.
 const MAX_DISTANCE: u32 = 400;
-/// Heartbeats that would be due within this time are sent together: each wake-up has its cost.
-const SENT_TOGETHER: Duration = Duration::from_millis(25);
+/// Time window in which due heartbeats are sent together, because each wake-up has its cost.
+const HEARTBEAT_WINDOW: Duration = Duration::from_millis(25);
 
-/// A side has greeted on a link and has not answered the welcome yet.
+/// A link whose side has sent a hello and has not answered the welcome yet.
 #[derive(Clone, Debug)]
-pub(super) struct Greeting {
+pub(super) struct PendingHandshake {
     at: Moment,
     hello: SideHello,
-    /// What the welcome told.
-    news: EntryUpdate,
+    /// State of this entry that the welcome reported.
+    update: EntryUpdate,
 }
 
 impl JobScheduler {
     pub(super) fn handle_report(&mut self, now: Moment, session: SessionId, report: SideReport) {
         if let SideReport::Hello(hello) = report {
-            self.greet(now, session, hello);
+            self.welcome_side(now, session, hello);
             return;
         }
-        if let Some(greeting) = self.greetings.shift_remove(&session) {
-            self.take_link(now, session, greeting);
+        if let Some(handshake) = self.pending_handshakes.shift_remove(&session) {
+            self.establish_link(now, session, handshake);
         }
         let Some(name) = self.sessions.get(&session).cloned() else {
             return;
@@ -52,49 +51,50 @@
                 ended,
                 takes_claims,
             } => {
-                self.note_takes_claims(&name, takes_claims);
+                self.record_takes_claims(&name, takes_claims);
                 self.resume(now, &name, running, ended);
             }
             SideReport::TakesClaims => {
-                self.note_takes_claims(&name, true);
+                self.record_takes_claims(&name, true);
                 self.claim_first_at(now, &name);
             }
-            SideReport::Status(status) => self.take_status(now, session, &name, status),
+            SideReport::Status(status) => self.handle_status(now, session, &name, status),
             SideReport::TargetCrashed(crash) => self.record_crash(now, &name, &crash),
             SideReport::FetchEntries => self.send_entries(session),
-            SideReport::FetchDocument(request) => self.documents.request(session, request),
-            SideReport::DocumentPart(part) => self.take_part(session, part),
-            SideReport::Claim { job, answer } => self.claim_answered(now, &name, job, answer),
+            SideReport::FetchDocument(request) => self.document_server.request(session, request),
+            SideReport::DocumentPart(part) => self.accept_document_part(session, part),
+            SideReport::Claim { job, answer } => self.handle_claim_answer(now, &name, job, answer),
         }
     }
 
-    /// Welcomes a side; its link counts once it has answered.
-    fn greet(&mut self, now: Moment, session: SessionId, hello: SideHello) {
+    /// Welcomes a side. The link counts as established once the side has answered.
+    fn welcome_side(&mut self, now: Moment, session: SessionId, hello: SideHello) {
         let view = self.sides.get(&hello.side);
         let is_holder = view.is_some_and(|view| view.holds_documents);
-        let news = self.news().for_side(is_holder);
+        let update = self.entry_update().for_side(is_holder);
         let welcome = EntryWelcome {
             entry: self.settings.entry.clone(),
             incarnation: self.settings.incarnation,
             hall: self.settings.hall.clone(),
             remembered_target: view.and_then(|view| view.target.clone()),
-            update: news.clone(),
+            update: update.clone(),
         };
         let at = now;
-        self.greetings.insert(session, Greeting { at, hello, news });
+        self.pending_handshakes
+            .insert(session, PendingHandshake { at, hello, update });
         self.send(session, EntryOrder::Welcome(welcome));
     }
 
-    /// The side has answered the welcome: this link takes the place of the one before.
+    /// Establishes the link of a side that has answered the welcome, in place of its previous link.
     ///
-    /// A greeting alone proves nothing: it may have been held up since before its sender crashed, and then it
-    /// would close the link of the life that runs.
-    fn take_link(&mut self, now: Moment, session: SessionId, greeting: Greeting) {
-        let hello = greeting.hello;
+    /// A hello alone proves nothing: it may have been delayed since before its sender crashed, and would then close the
+    /// link of the running incarnation.
+    fn establish_link(&mut self, now: Moment, session: SessionId, handshake: PendingHandshake) {
+        let hello = handshake.hello;
         self.update_drained_halls(now, &hello.drained);
         let is_hall_drained = self.drained_halls.contains(&hello.hall);
-        let fresh = SideView::new(now, hello.incarnation, hello.hall.clone());
-        let view = self.sides.entry(hello.side.clone()).or_insert(fresh);
+        let new_view = SideView::new(now, hello.incarnation, hello.hall.clone());
+        let view = self.sides.entry(hello.side.clone()).or_insert(new_view);
         let replaced = view.session.take();
         view.incarnation = hello.incarnation;
         view.hall = hello.hall;
@@ -103,7 +103,7 @@
         view.name_hash = stable_hash(&[&hello.side]);
         view.preference_penalty = distance(view.rank);
         view.attach_session(now, session);
-        view.last_sent_update = Some(greeting.news);
+        view.last_sent_update = Some(handshake.update);
         if let Some(replaced) = replaced {
             self.sessions.remove(&replaced);
             self.forget_link(replaced);
@@ -112,39 +112,40 @@
         }
         self.sessions.insert(session, hello.side);
         self.sides_due = Some(now);
-        self.fetch.record_offer(session, hello.config_version);
-        self.is_holder_choice_stale = true;
+        self.document_fetch
+            .record_offer(session, hello.config_version);
+        self.is_document_holder_choice_stale = true;
         self.reassign_reserved_sides();
     }
 
-    /// Closes links whose greeting came from nobody who lives.
-    pub(super) fn end_unanswered_greetings(&mut self, now: Moment) {
+    /// Closes links whose sides have not answered the welcome in time: the senders of the hellos no longer run.
+    pub(super) fn close_unanswered_handshakes(&mut self, now: Moment) {
         let limit = self.settings.terms.silence;
-        let is_over = |greeting: &Greeting| now.since(greeting.at) >= limit;
+        let is_over = |handshake: &PendingHandshake| now.since(handshake.at) >= limit;
         while self
-            .greetings
+            .pending_handshakes
             .first()
             .is_some_and(|(_, oldest)| is_over(oldest))
         {
-            let Some((session, greeting)) = self.greetings.shift_remove_index(0) else {
+            let Some((session, handshake)) = self.pending_handshakes.shift_remove_index(0) else {
                 return;
             };
             self.counters.greetings_unanswered += 1;
             self.effects.push(SchedulerEffect::Close { session });
             self.record_decision(SchedulerDecision::HandshakeUnanswered {
-                side: greeting.hello.side,
-                incarnation: greeting.hello.incarnation,
+                side: handshake.hello.side,
+                incarnation: handshake.hello.incarnation,
             });
         }
     }
 
-    /// When the oldest greeting counts as unanswered.
-    pub(super) fn greetings_due(&self) -> Option<Moment> {
-        let (_, oldest) = self.greetings.first()?;
+    /// Returns the time at which the oldest handshake counts as unanswered.
+    pub(super) fn handshakes_due(&self) -> Option<Moment> {
+        let (_, oldest) = self.pending_handshakes.first()?;
         Some(oldest.at + self.settings.terms.silence)
     }
 
-    /// Settles the runs of an earlier link: kept, ended, or lost.
+    /// Settles the runs of an earlier link: each of them is kept, ended or lost.
     fn resume(&mut self, now: Moment, name: &NodeName, running: Vec<RunId>, ended: Vec<EndedRun>) {
         let running: HashSet<RunId> = running.into_iter().collect();
         let ended: HashMap<RunId, EndedRun> = ended.into_iter().map(|end| (end.run, end)).collect();
@@ -158,12 +159,12 @@
         let mut lost = 0;
         for run in held {
             if let Some(end) = ended.get(&run) {
-                self.run_over(now, name, end);
+                self.handle_run_end(now, name, end);
             } else if running.contains(&run) {
                 adopted.extend(self.adoption(name, run));
             } else {
                 lost += 1;
-                self.run_over(now, name, &lost_run(run));
+                self.handle_run_end(now, name, &lost_run(run));
             }
         }
         let kept = adopted.len();
@@ -171,11 +172,11 @@
             && kept > 0
         {
             self.send(session, EntryOrder::Adopt(adopted.clone()));
-            self.stop_unwanted(session, &adopted);
+            self.stop_unwanted_runs(session, &adopted);
         }
         let side = name.clone();
         self.record_decision(SchedulerDecision::SideJoined { side, kept, lost });
-        self.claim_at(now, name);
+        self.claim_at_new_link(now, name);
     }
 
     fn adoption(&self, side: &NodeName, run: RunId) -> Option<AdoptedRun> {
@@ -190,8 +191,8 @@
         })
     }
 
-    /// Orders to stop that the earlier link may have lost.
-    fn stop_unwanted(&mut self, session: SessionId, adopted: &[AdoptedRun]) {
+    /// Sends stop orders again that the earlier link may have lost.
+    fn stop_unwanted_runs(&mut self, session: SessionId, adopted: &[AdoptedRun]) {
         for run in adopted {
             let job = self.jobs.get(&run.run.task.job);
             if job.is_none_or(|job| job.is_over) {
@@ -200,7 +201,7 @@
         }
     }
 
-    fn take_status(
+    fn handle_status(
         &mut self,
         now: Moment,
         session: SessionId,
@@ -208,23 +209,23 @@
         status: SideStatus,
     ) {
         if let Some(version) = status.config_version {
-            self.fetch.record_offer(session, version);
+            self.document_fetch.record_offer(session, version);
         }
         if let Some(drained) = &status.drained {
             self.update_drained_halls(now, drained);
         }
         if let Some(view) = self.sides.get_mut(name) {
             if view.last_report_number == 0 && (!view.runs.is_empty() || !view.takes_claims) {
-                // The side's lease for what goes on counts from the first report on this link, and it waits for this
-                // entry's claims.
+                // The side's lease for the runs that go on counts from the first report on this link, and the side
+                // waits for this entry's claims.
                 view.needs_heartbeat = true;
                 self.sides_due = Some(now);
             }
             view.apply_status(now, &status);
             self.counters.grants += u64::from(status.grant.is_some());
             let grant_ends = view.grant.map(|grant| grant.until);
-            let grants_end = self.grants_end.into_iter().chain(grant_ends).min();
-            self.grants_end = grants_end;
+            let grants_end = self.grants_expire_at.into_iter().chain(grant_ends).min();
+            self.grants_expire_at = grants_end;
             if view.has_unanswered_grant {
                 self.sides_due = Some(now);
             } else if status.is_offer {
@@ -233,10 +234,10 @@
             }
             if view.link_mode == LinkMode::Activating && !status.is_standby {
                 view.link_mode = LinkMode::Active;
-                // Confirmed before any start is ordered there: the side's lease counts from its report.
-                let heard = view.last_report_number;
+                // This confirms the report before any start is sent there: the side's lease counts from its report.
+                let report_number = view.last_report_number;
                 let confirmed = EntryOrder::Heartbeat {
-                    last_received: heard,
+                    last_received: report_number,
                     need: None,
                     update: None,
                 };
@@ -244,7 +245,7 @@
             }
         }
         for ended in &status.ended {
-            self.run_over(now, name, ended);
+            self.handle_run_end(now, name, ended);
         }
     }
 
@@ -253,7 +254,7 @@
     }
 
     pub(super) fn drop_link(&mut self, now: Moment, session: SessionId, was_silent: bool) {
-        self.greetings.shift_remove(&session);
+        self.pending_handshakes.shift_remove(&session);
         let Some(name) = self.sessions.remove(&session) else {
             return;
         };
@@ -269,11 +270,11 @@
         let age_ms = now.since(view.last_received_at).as_millis() as u64;
         let runs = view.runs.len();
         self.sides_due = Some(now);
-        self.is_holder_choice_stale = true;
+        self.is_document_holder_choice_stale = true;
         self.reassign_reserved_sides();
         self.fill_active_links(now);
         self.await_link(now, &name);
-        self.move_claims(now, &name);
+        self.reassign_claims(now, &name);
         self.record_decision(SchedulerDecision::SideLeft {
             side: name,
             was_silent,
@@ -282,8 +283,8 @@
         });
     }
 
-    /// Gives up links on which nothing was heard.
-    pub(super) fn end_silent_links(&mut self, now: Moment) {
+    /// Closes links on which nothing was received for too long.
+    pub(super) fn close_silent_links(&mut self, now: Moment) {
         if !self.are_sides_due(now) {
             return;
         }
@@ -298,7 +299,7 @@
         }
     }
 
-    /// Runs of a side that has been silent for longer than any lease are over.
+    /// Ends the runs of sides that have been silent for longer than any lease.
     pub(super) fn end_lost_runs(&mut self, now: Moment) {
         if !self.are_sides_due(now) {
             return;
@@ -313,32 +314,32 @@
             .collect();
         for (name, runs) in over {
             for run in runs {
-                self.run_over(now, &name, &lost_run(run));
+                self.handle_run_end(now, &name, &lost_run(run));
             }
         }
     }
 
-    /// Sends heartbeats that are due, answers offers of room, and tells some sides at once when
-    /// tasks begin to wait.
-    pub(super) fn beat(&mut self, now: Moment) {
+    /// Sends heartbeats that are due, answers offers of capacity, and notifies some sides at once when tasks begin to
+    /// wait.
+    pub(super) fn send_heartbeats(&mut self, now: Moment) {
         let has_waiting = self.has_job_in_turn(now);
-        let is_news = has_waiting && !self.has_told_waiting && !self.uses_capacity_grants();
-        self.has_told_waiting = has_waiting;
-        if is_news {
-            self.mark_told_first();
+        let must_notify = has_waiting && !self.has_reported_waiting && !self.uses_capacity_grants();
+        self.has_reported_waiting = has_waiting;
+        if must_notify {
+            self.mark_first_notified();
             self.sides_due = Some(now);
         }
-        self.tell_new_need(now);
+        self.report_new_need(now);
         if !self.are_sides_due(now) {
             return;
         }
-        self.choose_holders();
+        self.choose_document_holders();
         let terms = self.settings.terms;
         let mut linked = self.sides.values().filter(|side| side.session.is_some());
         let is_time =
             linked.any(|side| now.since(side.heartbeat_sent_at) >= side.heartbeat_interval(&terms));
-        let mut beats = Vec::new();
-        let known = self.news();
+        let mut heartbeats = Vec::new();
+        let update = self.entry_update();
         for side in self.sides.values_mut() {
             let Some(session) = side.session else {
                 continue;
@@ -349,36 +350,36 @@
                 side.needs_heartbeat |= is_returned;
             }
             let every = side.heartbeat_interval(&terms);
-            let is_due = is_time && now.since(side.heartbeat_sent_at) + SENT_TOGETHER >= every;
+            let is_due = is_time && now.since(side.heartbeat_sent_at) + HEARTBEAT_WINDOW >= every;
             if std::mem::take(&mut side.needs_heartbeat) || is_due {
                 side.heartbeat_sent_at = now;
                 if side.grant.is_some_and(|grant| grant.is_needed) {
                     side.drop_grant();
                 }
-                let news = side.take_unsent_update(&known);
-                beats.push((session, side.last_report_number, news));
+                let unsent_update = side.take_unsent_update(&update);
+                heartbeats.push((session, side.last_report_number, unsent_update));
             }
         }
-        if beats.is_empty() {
+        if heartbeats.is_empty() {
             return;
         }
         let waiting = self.waiting_need(now);
-        for (session, heard, news) in beats {
+        for (session, report_number, unsent_update) in heartbeats {
             let need = waiting.clone();
             self.send(
                 session,
                 EntryOrder::Heartbeat {
-                    last_received: heard,
+                    last_received: report_number,
                     need,
-                    update: news,
+                    update: unsent_update,
                 },
             );
         }
     }
 
-    /// Works out when the sides have to be looked at again; what is heard from them until then only makes
-    /// that later.
-    pub(super) fn plan_sides(&mut self, now: Moment) {
+    /// Computes the time at which the sides have to be visited again. Messages that arrive until then can only postpone
+    /// it.
+    pub(super) fn schedule_sides(&mut self, now: Moment) {
         if !self.are_sides_due(now) {
             return;
         }
@@ -391,20 +392,21 @@
         self.sides_due.is_some_and(|due| now >= due)
     }
 
-    /// The next few sides in turn are told at once; the others learn it from the usual heartbeat.
-    fn mark_told_first(&mut self) {
+    /// Marks the next few sides in turn to be notified at once. The others learn of the waiting tasks with the regular
+    /// heartbeat.
+    fn mark_first_notified(&mut self) {
         let sides = self.sides.len();
-        for _ in 0..sides.min(TOLD_FIRST) {
-            self.next_told = (self.next_told + 1) % sides;
-            if let Some((_, side)) = self.sides.get_index_mut(self.next_told) {
+        for _ in 0..sides.min(NOTIFIED_AT_ONCE) {
+            self.last_notified = (self.last_notified + 1) % sides;
+            if let Some((_, side)) = self.sides.get_index_mut(self.last_notified) {
                 side.needs_heartbeat = side.takes_work();
             }
         }
     }
 }
 
-/// A fixed number for each pair of an entry and a side: entries that see the same room then begin
-/// with different sides, and seldom send their starts to the same place.
+/// Returns a fixed penalty for each pair of an entry and a side. Entries that see the same free capacity then begin
+/// with different sides, and seldom send their starts to the same one.
 fn distance(rank: u32) -> u32 {
     (rank >> 8) % MAX_DISTANCE
 }
