--- a/crates/mastknot_entry/src/jobs/job_node.rs
+++ b/crates/mastknot_entry/src/jobs/job_node.rs
@@ -149,7 +149,7 @@
     }
 
     /// Keeps what it learns in a store, and takes what others have learned from there.
-    pub fn keep_learned<S: LastingStore>(&self, store: S, settings: ProfileSettings) {
+    pub fn sync_learned_profile<S: LastingStore>(&self, store: S, settings: ProfileSettings) {
         if self.keeps_profile {
             tokio::spawn(keep_profile(store, self.clone(), settings));
         }
--- a/crates/mastknot_side/src/agent/agent_actor.rs
+++ b/crates/mastknot_side/src/agent/agent_actor.rs
@@ -22,7 +22,7 @@
 use super::agent_dialing::keep_dialing;
 use super::agent_logs::log_decision;
 use super::agent_metrics::AgentMetrics;
-use super::{LookCall, StartCall, StopCall, TargetPort};
+use super::{ProbeCall, StartCall, StopCall, TargetPort};
 
 /// What the actor is made of.
 pub(super) struct AgentActorParts<P> {
@@ -257,13 +257,17 @@
                 hold_until_ms,
                 token,
                 target,
-                limit,
+                timeout: limit,
             }),
             AgentEffect::StopRun {
                 run,
                 token,
                 timeout: limit,
-            } => self.stop(StopCall { run, token, limit }),
+            } => self.stop(StopCall {
+                run,
+                token,
+                timeout: limit,
+            }),
             AgentEffect::Probe {
                 number,
                 hold_until_ms,
@@ -274,13 +278,13 @@
                 timeout: limit,
             } => self.look(
                 number,
-                LookCall {
+                ProbeCall {
                     hold_until_ms,
                     token,
                     last_seen,
                     wait,
                     target,
-                    limit,
+                    timeout: limit,
                 },
             ),
             AgentEffect::DialEntries(entries) => self.dial_all(&entries),
@@ -332,11 +336,11 @@
         });
     }
 
-    fn look(&self, number: u64, call: LookCall) {
+    fn look(&self, number: u64, call: ProbeCall) {
         let port = self.parts.port.clone();
         let me = self.me.clone();
         tokio::spawn(async move {
-            let result = port.look(call).await;
+            let result = port.probe(call).await;
             let event = AgentEvent::Probed { number, result };
             let _ = me.tell(AgentInput(event)).await;
         });
--- a/crates/mastknot_side/src/agent/finding.rs
+++ b/crates/mastknot_side/src/agent/finding.rs
@@ -16,7 +16,7 @@
 
 /// Where entries are listed, and how their list is read.
 #[derive(Clone, Debug)]
-pub struct FindEntries<S, V> {
+pub struct EntryLookup<S, V> {
     /// The store.
     pub store: S,
     /// All entries' keys begin so.
@@ -30,7 +30,7 @@
 /// Reads the list of entries while no link stands; entries that are linked tell of the others.
 pub async fn find_entries<P: TargetPort, S: SharedStore, V>(
     node: AgentNode<P>,
-    places: FindEntries<S, V>,
+    places: EntryLookup<S, V>,
 ) {
     let mut pause = FIRST_CHECK;
     loop {
--- a/crates/mastknot_side/src/agent/mod.rs
+++ b/crates/mastknot_side/src/agent/mod.rs
@@ -11,6 +11,6 @@
 
 pub use agent_actor::AgentReport;
 pub use agent_node::{AgentNode, AgentParts};
-pub use finding::{FindEntries, find_entries};
+pub use finding::{EntryLookup, find_entries};
 pub use target_memory::remember_target;
-pub use target_port::{LookCall, StartCall, StopCall, TargetPort};
+pub use target_port::{ProbeCall, StartCall, StopCall, TargetPort};
--- a/crates/mastknot_side/src/agent/target_port.rs
+++ b/crates/mastknot_side/src/agent/target_port.rs
@@ -19,7 +19,7 @@
     /// The life of the target that is meant.
     pub target: Option<TargetId>,
     /// How long an answer may take.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// An order to stop a run.
@@ -30,12 +30,12 @@
     /// The fencing token.
     pub token: u64,
     /// How long an answer may take.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// A look at the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LookCall {
+pub struct ProbeCall {
     /// The hold, on the target's clock in milliseconds, if it is to be renewed.
     pub hold_until_ms: Option<u64>,
     /// The fencing token.
@@ -47,7 +47,7 @@
     /// The life of the target that is meant.
     pub target: Option<TargetId>,
     /// How long an answer may take, its own wait included.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// How a side speaks to its target; adapters implement it. Each call answers in bounded time.
@@ -59,6 +59,8 @@
     fn stop(&self, call: StopCall) -> impl Future<Output = bool> + Send;
 
     /// Looks at what runs and what has ended.
-    fn look(&self, call: LookCall)
-    -> impl Future<Output = Result<TargetView, ProbeFailure>> + Send;
+    fn probe(
+        &self,
+        call: ProbeCall,
+    ) -> impl Future<Output = Result<TargetView, ProbeFailure>> + Send;
 }
--- a/crates/mastknot_side/src/lib.rs
+++ b/crates/mastknot_side/src/lib.rs
@@ -9,7 +9,7 @@
 mod target;
 
 pub use agent::{
-    AgentNode, AgentParts, AgentReport, FindEntries, LookCall, StartCall, StopCall, TargetPort,
+    AgentNode, AgentParts, AgentReport, EntryLookup, ProbeCall, StartCall, StopCall, TargetPort,
     find_entries, remember_target,
 };
 pub use node::{SideNode, StopReport};
--- a/crates/mastknot_side/tests/target_memory.rs
+++ b/crates/mastknot_side/tests/target_memory.rs
@@ -14,7 +14,7 @@
     SharedStore, SharedStoreError, SharedWrite,
 };
 use mastknot_side::{
-    AgentNode, AgentParts, LookCall, StartCall, StopCall, TargetPort, remember_target,
+    AgentNode, AgentParts, ProbeCall, StartCall, StopCall, TargetPort, remember_target,
 };
 use mastknot_wire::encode_frame;
 use tokio::sync::watch;
@@ -102,7 +102,7 @@
         false
     }
 
-    async fn look(&self, call: LookCall) -> Result<TargetView, ProbeFailure> {
+    async fn probe(&self, call: ProbeCall) -> Result<TargetView, ProbeFailure> {
         if call.target.is_some() {
             self.0.send_replace(call.target);
         }
