--- a/crates/mastknot_core/src/job/attempt_numbers.rs
+++ b/crates/mastknot_core/src/job/attempt_numbers.rs
@@ -1,25 +1,27 @@
 use crate::types::WallTime;
 
-/// Attempt numbers count steps of this length, in milliseconds, since 2020.
+/// Step of the attempt numbers, in milliseconds: the clock since 2020 is counted in these steps.
 const STEP_MS: u64 = 4;
-/// The start of the year 2020, in milliseconds since 1970.
+/// Start of the year 2020, in milliseconds since 1970.
 const EPOCH_MS: u64 = 1_577_836_800_000;
 
-/// Hands out attempt numbers that rise over all entries without being stored.
+/// Generator of attempt numbers that rise across all entries without being stored.
 ///
-/// A job that comes again at another entry must get higher numbers than its earlier copy, or a
-/// target refuses them as old. The wall clock at the job's arrival gives the first number. A target
-/// that still calls a number old is answered with a number far above it.
+/// A job that is submitted again through another entry must get higher numbers than its earlier
+/// submission, or a target refuses them as old. The first number is therefore taken from the wall
+/// clock at the arrival of the job. When a target still refuses a number as old, the next number is
+/// raised by one minute's worth of numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptNumbers {
     next: u64,
 }
 
-/// How far the next number is raised after a target has called one old.
+/// Amount by which the next number is raised after a target has refused one as old: one minute's
+/// worth of numbers.
 const RAISE_AFTER_OLD: u64 = 60_000 / STEP_MS;
 
 impl AttemptNumbers {
-    /// The numbers of a job that arrived at `wall`.
+    /// Returns the numbers of a job that arrived at `wall`.
     pub fn starting_at(wall: WallTime) -> Self {
         let since_epoch = wall.as_millis().saturating_sub(EPOCH_MS);
         Self {
@@ -27,14 +29,14 @@
         }
     }
 
-    /// The next number.
+    /// Returns the next number and advances.
     pub fn take(&mut self) -> u64 {
         let number = self.next;
         self.next += 1;
         number
     }
 
-    /// Skips numbers that an earlier copy of the job may have used.
+    /// Skips numbers that an earlier submission of the job may have used.
     pub fn raise(&mut self) {
         self.next += RAISE_AFTER_OLD;
     }
--- a/crates/mastknot_core/src/job/capacity.rs
+++ b/crates/mastknot_core/src/job/capacity.rs
@@ -1,25 +1,26 @@
 use bincode::{Decode, Encode};
 
-/// What a task takes, or a target has: processor, memory, accelerators.
+/// Processor time, memory and accelerators that a task requires or a target has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Capacity {
-    /// Thousandths of a core.
+    /// Processor capacity, in thousandths of a core.
     pub cpu_millis: u32,
-    /// Megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: u32,
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     pub accelerators: u32,
 }
 
 impl Capacity {
-    /// Whether `task` fits into this.
+    /// Returns whether `task` fits into this capacity.
     pub fn covers(&self, task: &Self) -> bool {
         task.cpu_millis <= self.cpu_millis
             && task.memory_mb <= self.memory_mb
             && task.accelerators <= self.accelerators
     }
 
-    /// How many tasks of this room fit into this.
+    /// Returns how many tasks of this size fit into this capacity; [`u32::MAX`] for a task that
+    /// requires nothing.
     pub fn count_of(&self, task: &Self) -> u32 {
         let whole = [self.cpu_millis, self.memory_mb, self.accelerators];
         let each = [task.cpu_millis, task.memory_mb, task.accelerators];
@@ -30,7 +31,7 @@
             .unwrap_or(u32::MAX)
     }
 
-    /// What is left without `task`, nothing below zero.
+    /// Returns this capacity less that of `task`, with each part at least zero.
     pub fn without(&self, task: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(task.cpu_millis),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both capacities.
     pub fn with(&self, task: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_add(task.cpu_millis),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The smaller one of each part.
+    /// Returns the smaller value of each part.
     pub fn smaller_of(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
@@ -57,7 +58,8 @@
         }
     }
 
-    /// The smallest share of `whole` that this is, in thousandths: what there is least of decides how much fits in.
+    /// Returns the smallest share of `whole` among the parts, in thousandths. The scarcest part
+    /// decides how much work fits in.
     pub fn min_permille_of(&self, whole: &Self) -> u32 {
         let share = |part: u32, whole: u32| match whole {
             0 => None,
@@ -71,7 +73,7 @@
         shares.into_iter().flatten().min().unwrap_or_default()
     }
 
-    /// The largest share of `whole` that this takes, in thousandths.
+    /// Returns the largest share of `whole` among the parts, in thousandths.
     pub fn max_permille_of(&self, whole: &Self) -> u32 {
         let share = |part: u32, whole: u32| match whole {
             0 => 0,
--- a/crates/mastknot_core/src/job/capacity_grant.rs
+++ b/crates/mastknot_core/src/job/capacity_grant.rs
@@ -4,22 +4,23 @@
 
 use super::Capacity;
 
-/// Room that a side has given to one entry alone.
+/// Capacity that a side has granted to one entry exclusively.
 ///
-/// A start that fits into it is not turned away: the side keeps it until its own time for the grant is over, which is
-/// longer than what the entry is told.
+/// A start that fits into the grant is not refused. The side keeps the capacity reserved until its
+/// own time for the grant is over, which is longer than the time that the entry is given.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct CapacityGrant {
-    /// What the entry may start.
+    /// Capacity that the entry may use for starts.
     pub capacity: Capacity,
-    /// The part of it that is still taken and expected to come free soon: the side lets starts wait for it.
+    /// Part of the granted capacity that is still in use and expected to become free soon. The side
+    /// queues starts for it.
     pub ahead: Capacity,
-    /// How long it may be used from when it is received, in milliseconds.
+    /// Time for which the grant may be used after its receipt, in milliseconds.
     pub valid_ms: u32,
 }
 
 impl CapacityGrant {
-    /// How long it may be used from when it is received.
+    /// Returns the time for which the grant may be used after its receipt.
     pub fn valid(&self) -> Duration {
         Duration::from_millis(u64::from(self.valid_ms))
     }
--- a/crates/mastknot_core/src/job/config_document.rs
+++ b/crates/mastknot_core/src/job/config_document.rs
@@ -2,11 +2,12 @@
 
 use bincode::{Decode, Encode};
 
-/// The operators' configuration as it is passed on between processes; its text is the adapter's.
+/// The operators' configuration as processes pass it on. Only the adapter for the operators' store
+/// interprets its text.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigDocument {
-    /// Its version; the highest one wins.
+    /// Version of the configuration; the highest version wins.
     pub version: u64,
-    /// Its bytes, as the operators' store has them.
+    /// Bytes of the configuration, exactly as the operators' store holds them.
     pub bytes: Arc<[u8]>,
 }
--- a/crates/mastknot_core/src/job/document_part.rs
+++ b/crates/mastknot_core/src/job/document_part.rs
@@ -2,26 +2,27 @@
 
 use bincode::{Decode, Encode};
 
-/// Asks another process for a part of its newest configuration.
+/// Request for a part of the newest configuration of another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DocumentRequest {
-    /// The version that the reader has begun.
+    /// Version whose transfer the reader has begun.
     pub version: u64,
-    /// The bytes of it that the reader has.
+    /// Number of bytes of that version that the reader already has.
     pub offset: u32,
-    /// The most bytes that the reader's link should get at once.
+    /// Largest part that fits the reader's link at once, in bytes.
     pub limit: u32,
 }
 
-/// A part of a configuration. It may be of another version than the one asked for; its offset is 0 then.
+/// Part of a configuration document. The part may be of another version than the requested one; its
+/// offset is 0 in that case.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DocumentPart {
-    /// The version.
+    /// Version of the document.
     pub version: u64,
-    /// Where the part begins, in bytes.
+    /// Position of the part in the document, in bytes.
     pub offset: u32,
-    /// The length of the whole, in bytes.
+    /// Length of the whole document, in bytes.
     pub total: u32,
-    /// The part.
+    /// Bytes of the part.
     pub bytes: Arc<[u8]>,
 }
--- a/crates/mastknot_core/src/job/end_of_run.rs
+++ b/crates/mastknot_core/src/job/end_of_run.rs
@@ -1,45 +1,46 @@
 use bincode::{Decode, Encode};
 
-/// Why a run never began.
+/// Reason why a run never began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum NotRunCause {
-    /// The target has no room for it.
+    /// The target has too little free capacity for the task.
     NoRoom,
     /// The target is leaving.
     Draining,
-    /// The target has seen this or a higher attempt of the task.
+    /// The target has seen the same or a higher attempt of the task.
     OldAttempt,
-    /// The target does not answer, or turned the order away as unhealthy.
+    /// The target does not answer, or refused the order because it is unhealthy.
     TargetUnavailable,
-    /// The target refused the order for good.
+    /// The target refused the order permanently.
     Rejected,
-    /// The order reached the target after its time.
+    /// The order reached the target after its latest start time.
     Late,
-    /// Another task is on trial there that may crash the target too.
+    /// Another task that is suspected of crashing targets is in its isolation trial on the target.
     OtherSuspect,
-    /// Its entry has taken the order back before there was room.
+    /// The entry withdrew the order before the target had capacity for it.
     Recalled,
 }
 
-/// How one run of a task has ended. After each of them the run is over for certain.
+/// Outcome of one run of a task. After each of these outcomes the run is certain to be over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum EndOfRun {
-    /// It did its work.
+    /// The task completed its work.
     Done,
-    /// It failed, by its own fault or the target's. `is_target_suspect` says that the target has
-    /// failed others too, so that the failure should not count against the task.
+    /// The run failed, through a fault of the task or of the target.
     Failed {
-        /// Whether the target has failed several runs in a row.
+        /// Whether the target has failed several runs in a row, so that this failure should not
+        /// count against the task.
         is_target_suspect: bool,
     },
-    /// It was stopped by order.
+    /// The run was stopped on the entry's order.
     Stopped,
-    /// It was stopped because it made no progress.
+    /// The run was stopped because it made no progress.
     Stalled,
-    /// Its side is gone, the lease on it has lapsed, or its target does not list it any more.
+    /// The side of the run is gone, the lease on the run has expired, or the target no longer lists
+    /// the run.
     Lost,
-    /// Its target has crashed.
+    /// The target crashed during the run.
     Crashed,
-    /// It never began.
+    /// The run never began.
     NotRun(NotRunCause),
 }
--- a/crates/mastknot_core/src/job/entry_order.rs
+++ b/crates/mastknot_core/src/job/entry_order.rs
@@ -8,94 +8,99 @@
 };
 use crate::types::{Hall, Incarnation, NodeName};
 
-/// An entry's first message on a link.
+/// First message that an entry sends on a link.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EntryWelcome {
-    /// The entry.
+    /// Name of the entry.
     pub entry: NodeName,
-    /// Its run.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
-    /// The hall that it stands in: its callers' hall as a rule.
+    /// Hall of the entry, normally also the hall of its callers.
     pub hall: Hall,
-    /// What it last knew of the side's target, for a side that has just started.
+    /// Last known profile of the side's target, for a side that has just started.
     pub remembered_target: Option<TargetProfile>,
-    /// What the side may ask it for.
+    /// State of the entry that the side may lack and can ask for.
     pub update: EntryUpdate,
 }
 
-/// Starts a task.
+/// Order to start a task.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StartOrder {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// What the target is given.
+    /// Input that the target receives.
     pub payload: Arc<str>,
-    /// What the task takes.
+    /// Capacity that the task requires.
     pub required_capacity: Capacity,
-    /// A guess of its time, in milliseconds.
+    /// Estimated run time, in milliseconds.
     pub estimate_ms: u32,
-    /// What it has in common with tasks that run the same program.
+    /// Kind of the task, shared by tasks that run the same program.
     pub kind: TaskKind,
-    /// After what time targets crashed under tasks of its kind, in milliseconds, if the kind is contained: until then no
-    /// other job's task of a contained kind is started beside it.
+    /// Run time after which targets crashed under tasks of this kind, in milliseconds, if the kind
+    /// is contained. Until that time has passed, no task of a contained kind from another job is
+    /// started beside this one.
     pub kind_crashed_after_ms: Option<u32>,
-    /// After what time a target crashed under its task, in milliseconds, if one has.
+    /// Run time after which a target crashed under this task, in milliseconds, if one has.
     pub crashed_after_ms: Option<u32>,
-    /// How urgent it is; 0 is the most urgent.
+    /// Urgency rank; 0 is the most urgent.
     pub rank: u8,
-    /// How long it may wait for room at the side, in milliseconds; 0: it is turned away if there is none.
+    /// Longest time that the start may wait for free capacity at the side, in milliseconds. At 0
+    /// the side refuses the start if it has no capacity now.
     pub may_wait_ms: u32,
-    /// The highest report number that the entry has received: its lease counts from there when the start is judged.
+    /// Highest report number that the entry has received. The side decides on the start with the
+    /// entry's lease counted from that report.
     pub last_received: u64,
 }
 
-/// A run that an entry takes over from a side's earlier life.
+/// Run that an entry takes over from an earlier incarnation of a side.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AdoptedRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// What it takes.
+    /// Capacity that the run requires.
     pub required_capacity: Capacity,
-    /// A guess of its time, in milliseconds.
+    /// Estimated run time, in milliseconds.
     pub estimate_ms: u32,
-    /// What it has in common with tasks that run the same program.
+    /// Kind of the task, shared by tasks that run the same program.
     pub kind: TaskKind,
 }
 
-/// What an entry says to a side.
+/// Message from an entry to a side.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum EntryOrder {
-    /// The first message.
+    /// First message on the link.
     Welcome(EntryWelcome),
-    /// These runs, which the side listed, are this entry's.
+    /// Claims these runs, which the side listed, for this entry.
     Adopt(Vec<AdoptedRun>),
-    /// Start a task.
+    /// Starts a task.
     Start(StartOrder),
-    /// Stop a run.
+    /// Stops a run.
     Stop(RunId),
-    /// The entry lives. Its lease at the side counts from the moment at which the side sent the
-    /// report with this number.
+    /// Shows that the entry is alive. The entry's lease at the side counts from the moment at which
+    /// the side sent the report with the number `last_received`.
     Heartbeat {
-        /// The highest report number that the entry has received.
+        /// Highest report number that the entry has received.
         last_received: u64,
-        /// What waits at the entry for room.
+        /// Work that waits at the entry for capacity.
         need: Option<WaitingNeed>,
-        /// What the side may ask for, if that has changed since it was told.
+        /// State that the side may ask for, if it has changed since the entry last sent it.
         update: Option<EntryUpdate>,
     },
-    /// No start comes from this entry until it says otherwise: both ends say little on this link, and
-    /// no lease counts on it.
+    /// Puts the link on standby: the entry orders no starts until it activates the link again, both
+    /// ends send little, and no lease counts on the link.
     Standby,
-    /// Starts may come again, once the entry has confirmed a report that was sent after this.
+    /// Ends the standby. Starts may follow once the entry has confirmed a report that was sent
+    /// after this message.
     Activate,
-    /// The entries that are known, for a side that has asked.
+    /// Known entries, in answer to a side's request.
     Entries(Vec<KnownEntry>),
-    /// Asks for a part of the configuration that the side holds.
+    /// Requests a part of the configuration that the side holds.
     FetchDocument(DocumentRequest),
-    /// A part of the configuration, for a side that has asked.
+    /// Part of the configuration, in answer to a side's request.
     DocumentPart(DocumentPart),
     /// Claims a job, or renews the claim.
     Claim(JobClaim),
-    /// Nothing of a job runs for this entry any more: others may claim it.
+    /// Releases the claim of a job of which nothing runs for this entry any more, so that other
+    /// entries may claim it.
     ReleaseClaim(JobId),
 }
--- a/crates/mastknot_core/src/job/entry_update.rs
+++ b/crates/mastknot_core/src/job/entry_update.rs
@@ -4,27 +4,29 @@
 
 use super::{DrainedHalls, ShareWeights};
 
-/// What an entry has that a side may lack; the side asks for what is not in here.
+/// State of an entry that a side may lack. The messages carry versions and digests; the side
+/// requests the documents that it does not have.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct EntryUpdate {
-    /// The version of the configuration that this side is to hold, 0 for none.
+    /// Version of the configuration that this side is to hold; 0 if it is to hold none.
     pub config_version: u64,
-    /// The digest of the entries that it knows ([`directory_digest`](super::directory_digest)).
+    /// Digest of the entries that this entry knows ([`directory_digest`](super::directory_digest)).
     pub directory: u64,
-    /// The halls that are drained. They come with the word of a version, so that whoever gets a configuration from
-    /// others has them too.
+    /// The drained halls. They accompany the version of the configuration, so that a side that gets
+    /// its configuration from other processes learns of them too.
     pub drained: Arc<DrainedHalls>,
-    /// Whether queues of several priorities compete for the targets: room that is short is then granted, to one entry
-    /// at a time.
+    /// Whether queues of several priorities compete for the targets. Scarce capacity is then
+    /// granted to one entry at a time.
     pub grants_capacity: bool,
-    /// Whether room that is short goes by the shares of halls, among needs that are equally urgent.
+    /// Whether scarce capacity is shared by the weights of halls among equally urgent needs.
     pub shares_capacity: bool,
-    /// How room that is short is shared between halls.
+    /// Weights by which scarce capacity is shared between halls.
     pub shares: Arc<ShareWeights>,
 }
 
 impl EntryUpdate {
-    /// The same for one side: only those that hold the configuration are told of its version.
+    /// Returns this state as it is sent to one side. Only sides that hold the configuration are
+    /// sent its version.
     pub fn for_side(&self, holds_documents: bool) -> Self {
         let config_version = match holds_documents {
             true => self.config_version,
--- a/crates/mastknot_core/src/job/job_answer.rs
+++ b/crates/mastknot_core/src/job/job_answer.rs
@@ -1,31 +1,31 @@
 use std::time::Duration;
 
-/// Why a job has failed.
+/// Reason why a job has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
     /// A task has failed as often as its queue allows.
     TaskFailed,
     /// A task crashes the targets on which it starts.
     CrashesTargets,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// The final answer of a job.
+/// Final answer to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobAnswer {
-    /// All tasks have done their work.
+    /// All tasks of the job have completed their work.
     Completed,
-    /// It can't be done, or need not be.
+    /// The job cannot be completed, or no longer needs to be.
     Failed {
-        /// Why.
+        /// Reason for the failure.
         cause: FailureCause,
     },
-    /// Nothing of it has run and nothing will; it may come again after this time.
+    /// Nothing of the job has run or will run. The caller may submit it again later.
     Refused {
-        /// When to come back.
+        /// Time after which the caller may submit the job again.
         retry_after: Duration,
     },
-    /// Given up on after some of it may have run.
+    /// The entry gave up on the job; parts of the job may have run.
     TimedOut,
 }
--- a/crates/mastknot_core/src/job/job_claim.rs
+++ b/crates/mastknot_core/src/job/job_claim.rs
@@ -5,35 +5,37 @@
 use super::JobId;
 use crate::types::NodeName;
 
-/// Asks a side that no other entry starts anything of a job for a time.
+/// Request to a side that no other entry may start tasks of a job for a limited time.
 ///
-/// All entries ask the same side about the same job, so that two of them that were handed the same job do not both start
-/// it.
+/// All entries send their claims on the same job to the same side, so that two entries that
+/// received the same job do not both start it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct JobClaim {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// For how long, in milliseconds, unless it is released before.
+    /// Time until the claim expires unless it is released before, in milliseconds.
     pub term_ms: u32,
-    /// Whether the entry has had the job since it was granted: a side that has started since then grants it first.
+    /// Whether the entry has held the job since the claim was first granted. A side that has
+    /// started since then grants such claims before new ones.
     pub is_reclaim: bool,
 }
 
 impl JobClaim {
-    /// For how long.
+    /// Returns the time until the claim expires.
     pub fn term(&self) -> Duration {
         Duration::from_millis(u64::from(self.term_ms))
     }
 }
 
-/// What a side says to a claim.
+/// Answer of a side to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ClaimAnswer {
     /// The entry that asked may start the job.
     Granted,
-    /// Another entry has claimed the job. The side says so again when that claim has ended and this one is granted.
+    /// Another entry holds the claim. The side answers again when that claim has ended and this one
+    /// is granted.
     Held {
-        /// The entry that has it.
+        /// Entry that holds the claim.
         by: NodeName,
     },
 }
--- a/crates/mastknot_core/src/job/job_id.rs
+++ b/crates/mastknot_core/src/job/job_id.rs
@@ -4,16 +4,16 @@
 use bincode::{Decode, Encode};
 use snafu::Snafu;
 
-/// The digits of a job's name.
+/// Number of digits of a job identifier.
 const DIGITS: usize = 16;
 
-/// A caller's name for a job: 16 hexadecimal digits.
+/// Identifier that a caller gives a job, written as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct JobId(pub u64);
 
-/// Why a text is no job name.
+/// Error for a text that is not a job identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("a job's name has {DIGITS} lower-case hexadecimal digits"))]
+#[snafu(display("a job identifier has {DIGITS} lower-case hexadecimal digits"))]
 pub struct JobIdError;
 
 impl FromStr for JobId {
--- a/crates/mastknot_core/src/job/job_request.rs
+++ b/crates/mastknot_core/src/job/job_request.rs
@@ -4,45 +4,46 @@
 
 use super::{JobId, StepSpec};
 
-/// The most tasks that one job may have.
+/// Maximum number of tasks in one job.
 const MAX_TASKS: u64 = 1_000;
-/// The most steps that one job may have.
+/// Maximum number of steps in one job.
 const MAX_STEPS: usize = 100;
 
-/// A job as a caller handed it in.
+/// A job as a caller submitted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobRequest {
-    /// The caller's name for it.
+    /// Identifier that the caller gave the job.
     pub id: JobId,
-    /// The caller's name for this request, for logs.
+    /// The caller's name for this request, written to logs.
     pub request_id: Arc<str>,
-    /// What each task's target is given.
+    /// Input that the target of each task receives.
     pub payload: Arc<str>,
-    /// The steps, in order.
+    /// Steps of the job, in order.
     pub steps: Vec<StepSpec>,
 }
 
-/// Why a job can't be taken.
+/// Reason why a job is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum JobRequestError {
-    /// It has no tasks.
+    /// The job has no tasks.
     #[snafu(display("a job needs at least one task"))]
     NoTasks,
-    /// It has too many tasks or steps.
+    /// The job has too many tasks or steps.
     #[snafu(display("a job has at most {MAX_TASKS} tasks in {MAX_STEPS} steps"))]
     TooLarge,
-    /// A step waits for itself or for a later one.
-    #[snafu(display("step {step} waits for step {after}, which is not an earlier one"))]
+    /// A step waits for itself or for a later step.
+    #[snafu(display("step {step} waits for step {after}, which is not an earlier step"))]
     BadOrder {
-        /// The step.
+        /// Index of the waiting step.
         step: usize,
-        /// What it waits for.
+        /// Index of the step that it waits for.
         after: u16,
     },
 }
 
 impl JobRequest {
-    /// Checks what can be checked without the state of the system.
+    /// Checks everything that does not depend on the state of the system: the number of tasks and
+    /// steps, and their order.
     pub fn check(&self) -> Result<(), JobRequestError> {
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
         if tasks == 0 {
--- a/crates/mastknot_core/src/job/known_entry.rs
+++ b/crates/mastknot_core/src/job/known_entry.rs
@@ -5,17 +5,17 @@
 
 use crate::types::NodeName;
 
-/// An entry that a process knows of.
+/// An entry that a process knows.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct KnownEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: NodeName,
-    /// Where sides dial it.
+    /// Address at which sides connect to the entry.
     pub address: SocketAddr,
 }
 
-/// A number that tells one list of entries from another, 0 for none: the list itself is sent only to those who
-/// lack it.
+/// Returns a digest that distinguishes lists of entries; 0 for an empty list. The list itself is
+/// sent only to processes whose digest differs.
 pub fn directory_digest(entries: &[KnownEntry]) -> u64 {
     if entries.is_empty() {
         return 0;
--- a/crates/mastknot_core/src/job/learned_profile.rs
+++ b/crates/mastknot_core/src/job/learned_profile.rs
@@ -6,56 +6,60 @@
 use super::TaskKind;
 use crate::types::{NodeName, WallTime};
 
-/// The most runs that a belief of another process counts as: so many fresh ones outweigh it.
-const MOST_RUNS: u32 = 32;
-/// After each such time a belief counts half: what runs in a queue changes with its programs, from day to day.
+/// Maximum number of runs that a prior from another process counts as, so that the same number of
+/// local runs outweighs it.
+const MAX_PRIOR_RUNS: u32 = 32;
+/// Time after which a prior counts half. The work in a queue changes with its programs, from day to
+/// day.
 const HALF_LIFE: Duration = Duration::from_secs(24 * 60 * 60);
-/// For so long after it was written a profile's suspects are believed: processes that were lost are back by then, and a
-/// kind that is sound must not lose targets for what it once did.
-const SUSPECTS_BELIEVED: Duration = Duration::from_secs(10 * 60);
+/// Age of a profile up to which its suspects are used. Processes that were lost have restarted by
+/// then, and a kind that is healthy again must not lose targets because of earlier crashes.
+const SUSPECT_MAX_AGE: Duration = Duration::from_secs(10 * 60);
 
-/// What entries have learned from runs: kept on the platform, so that it outlasts them.
+/// Values that entries have learned from runs. They are stored on the platform, so that they
+/// outlast the processes.
 ///
-/// A belief only: whoever reads it goes on learning from there, and ages it by the time since it was written.
+/// The values are priors only: a process that reads them continues to learn from its own runs, and
+/// ages them by the time since they were written.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct LearnedProfile {
-    /// When it was written, in Unix milliseconds.
+    /// Time at which the profile was written, in Unix milliseconds.
     pub written_ms: u64,
-    /// How the runs of each queue on each class of targets have gone.
+    /// Observed slowdown of each queue on each class of targets.
     pub slowdowns: Vec<LearnedSlowdown>,
-    /// How long the steps of each queue have taken.
+    /// Observed run times of the steps of each queue.
     pub run_times: Vec<LearnedRunTimes>,
     /// Kinds of tasks that crash the targets on which they start.
     pub suspects: Vec<LearnedSuspect>,
 }
 
-/// How the runs of one queue on one class of targets have gone.
+/// Observed slowdown of the runs of one queue on one class of targets.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LearnedSlowdown {
-    /// The queue.
+    /// Name of the queue.
     pub queue: Arc<str>,
-    /// The class.
+    /// Name of the class of targets.
     pub class: Arc<str>,
-    /// How many runs that tells of.
+    /// Number of runs that the mean is based on.
     pub runs: u32,
-    /// The mean logarithm of their times against their callers' guesses.
+    /// Mean logarithm of the ratio of run times to the callers' estimates.
     pub log_ratio: f64,
 }
 
-/// How long the steps of one queue have taken, against their callers' guesses.
+/// Observed run times of the steps of one queue, relative to the callers' estimates.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LearnedRunTimes {
-    /// The queue.
+    /// Name of the queue.
     pub queue: Arc<str>,
-    /// How many steps that tells of.
+    /// Number of steps that the values are based on.
     pub steps: u32,
-    /// The mean logarithm of the guesses, in seconds.
+    /// Mean logarithm of the estimates, in seconds.
     pub log_estimate: f64,
-    /// The mean logarithm of the times, in seconds.
+    /// Mean logarithm of the run times, in seconds.
     pub log_run_time: f64,
-    /// The variance of the logarithms of the guesses.
+    /// Variance of the logarithms of the estimates.
     pub estimate_variance: f64,
-    /// The covariance of the logarithms of guesses and times.
+    /// Covariance of the logarithms of estimates and run times.
     pub covariance: f64,
 }
 
@@ -64,40 +68,41 @@
 pub struct LearnedSuspect {
     /// The kind.
     pub kind: TaskKind,
-    /// After what time targets have crashed under its tasks, in milliseconds.
+    /// Run time after which targets have crashed under tasks of the kind, in milliseconds.
     pub crashed_after_ms: u32,
-    /// The part of the targets that it has, in thousandths.
+    /// Share of the targets on which the kind may run, in thousandths.
     pub share_per_mille: u16,
-    /// The first sides whose targets it has crashed, in the order of the crashes.
+    /// First sides whose targets the kind has crashed, in the order of the crashes.
     pub crashed_sides: Vec<NodeName>,
 }
 
 impl LearnedProfile {
-    /// How many beliefs it has.
+    /// Returns the number of priors in the profile.
     pub fn prior_count(&self) -> usize {
         self.slowdowns.len() + self.run_times.len() + self.suspects.len()
     }
 
-    /// How long ago it was written; zero if the writer's clock is ahead.
+    /// Returns the time since the profile was written; zero if the writer's clock is ahead.
     pub fn age(&self, wall: WallTime) -> Duration {
         Duration::from_millis(wall.as_millis().saturating_sub(self.written_ms))
     }
 
-    /// What another process makes of it: a belief counts as few runs, and less the older it is.
+    /// Returns the profile as another process uses it: a prior counts as at most `MAX_PRIOR_RUNS`
+    /// runs, and less the older it is.
     pub fn aged(&self, wall: WallTime) -> Self {
         let age = self.age(wall);
         let halvings = (age.as_secs() / HALF_LIFE.as_secs()) as u32;
-        let counted = |runs: u32| runs.min(MOST_RUNS).checked_shr(halvings).unwrap_or(0);
+        let counted = |runs: u32| runs.min(MAX_PRIOR_RUNS).checked_shr(halvings).unwrap_or(0);
         let mut aged = self.clone();
-        for pace in &mut aged.slowdowns {
-            pace.runs = counted(pace.runs);
+        for slowdown in &mut aged.slowdowns {
+            slowdown.runs = counted(slowdown.runs);
         }
         for times in &mut aged.run_times {
             times.steps = counted(times.steps);
         }
-        aged.slowdowns.retain(|pace| pace.runs > 0);
+        aged.slowdowns.retain(|slowdown| slowdown.runs > 0);
         aged.run_times.retain(|times| times.steps > 0);
-        if age > SUSPECTS_BELIEVED {
+        if age > SUSPECT_MAX_AGE {
             aged.suspects.clear();
         }
         aged
--- a/crates/mastknot_core/src/job/lease_terms.rs
+++ b/crates/mastknot_core/src/job/lease_terms.rs
@@ -1,32 +1,34 @@
 use std::time::Duration;
 
-/// Nothing runs over a link on standby and news of versions does not wait for its heartbeat: it only shows that the other
-/// end lives, and there are as many such links as pairs of entry and side.
+/// Interval between heartbeats on a standby link. No runs use such a link and version updates do
+/// not wait for its heartbeat; it only shows that the other end is alive. The interval is long
+/// because there are as many such links as pairs of entry and side.
 const STANDBY_HEARTBEAT: Duration = Duration::from_secs(8);
-/// Three heartbeats may be lost.
+/// Time without a message after which a standby link is given up: three heartbeats may be lost.
 const STANDBY_SILENCE: Duration = Duration::from_secs(28);
 
-/// The times of the leases between entry, side and target.
+/// Durations of the leases between entry, side and target.
 ///
 /// A side's lease for an entry and the hold of a target both count from the moment at which the
-/// side sent a report that the entry is known to have received. An entry knows when it last heard
-/// from a side, so it knows without an answer when all that it runs there is over:
-/// `run_over_after`. See `docs/design/platform.md` for the sum.
+/// side sent a report that the entry is known to have received. An entry knows when it last
+/// received a report from a side, so it knows without an answer when all its runs on that side are
+/// over: after `run_over_after`. See `docs/design/platform.md` for the calculation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// Between two heartbeats of one link.
+    /// Time between two heartbeats of one link.
     pub heartbeat: Duration,
-    /// After this long without a newer report heard by an entry, its side stops its runs.
+    /// Time without the entry confirming a newer report after which the side stops the entry's
+    /// runs.
     pub entry_lease: Duration,
-    /// For how long a target runs on after the last confirmed report.
+    /// Time for which a target keeps running after the last confirmed report.
     pub target_hold: Duration,
-    /// After this long without a word from a side, its runs are over.
+    /// Time without a message from a side after which all runs on it are over.
     pub run_over_after: Duration,
-    /// After this long without a word, an entry gives up its link to a side.
+    /// Time without a message after which an entry gives up its link to a side.
     pub silence: Duration,
-    /// Between two heartbeats of a link on standby.
+    /// Time between two heartbeats of a standby link.
     pub standby_heartbeat: Duration,
-    /// After this long without a word, either end gives up a link on standby.
+    /// Time without a message after which either end gives up a standby link.
     pub standby_silence: Duration,
 }
 
@@ -45,8 +47,8 @@
 }
 
 impl LeaseTerms {
-    /// Whether every run is over before an entry believes so: clocks may differ by 2 percent, and
-    /// stopping a run takes `stop_time`.
+    /// Returns whether every run is over before an entry assumes so, with clocks that differ by up
+    /// to 2 percent and with `stop_time` as the time that stopping a run takes.
     pub fn are_safe(&self, stop_time: Duration) -> bool {
         let by_side = self.entry_lease.mul_f64(1.02) + stop_time;
         let by_target = self.target_hold.mul_f64(1.02);
--- a/crates/mastknot_core/src/job/profile_error.rs
+++ b/crates/mastknot_core/src/job/profile_error.rs
@@ -1,60 +1,61 @@
 use snafu::Snafu;
 
-/// Why bytes are no profile of learned beliefs, or a profile can't be written.
+/// Reason why bytes are not a learned profile, or why a profile cannot be encoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ProfileError {
-    /// More bytes than any profile has.
-    #[snafu(display("{bytes} bytes are more than a profile has"))]
+    /// There are more bytes than a profile may have.
+    #[snafu(display("the profile has {bytes} bytes, which is more than allowed"))]
     TooLarge {
-        /// How many there are.
+        /// Number of bytes.
         bytes: usize,
     },
-    /// Some bytes are missing, or there are some behind its end.
-    #[snafu(display("a profile has {expected} bytes here, there are {bytes}"))]
-    Cut {
-        /// How many there are.
+    /// Bytes are missing, or there are bytes after the end of the profile.
+    #[snafu(display("expected a profile of {expected} bytes, found {bytes}"))]
+    WrongLength {
+        /// Number of bytes that were found.
         bytes: usize,
-        /// How many there should be; at least as many as its header has.
+        /// Number of bytes that were expected; at least the length of the header.
         expected: usize,
     },
-    /// Another format, of another version or another program.
-    #[snafu(display("the format {format:08x} is not known"))]
+    /// The format number belongs to another version or another program.
+    #[snafu(display("unknown profile format {format:08x}"))]
     OtherFormat {
-        /// Its number.
+        /// Format number that was found.
         format: u32,
     },
-    /// Its checksum is wrong.
-    #[snafu(display("the checksum is wrong"))]
+    /// The checksum does not match.
+    #[snafu(display("the checksum of the profile does not match"))]
     Damaged,
-    /// Its bytes stand for no profile.
-    #[snafu(display("the bytes stand for no profile"))]
+    /// The bytes cannot be decoded as a profile.
+    #[snafu(display("the bytes cannot be decoded as a profile"))]
     Malformed {
-        /// What is wrong.
+        /// Error of the decoder.
         source: bincode::error::DecodeError,
     },
-    /// It says what no process has learned: more beliefs than are kept, or figures out of all bounds.
-    #[snafu(display("the profile says what can't be learned"))]
-    Unsound,
-    /// It can't be written.
-    #[snafu(display("the profile can't be written"))]
-    Unwritable {
-        /// What is wrong.
+    /// The profile holds values that no process can have learned: more priors than are kept, or
+    /// numbers out of range.
+    #[snafu(display("the profile holds values out of range"))]
+    OutOfRange,
+    /// The profile cannot be encoded.
+    #[snafu(display("the profile cannot be encoded"))]
+    NotEncodable {
+        /// Error of the encoder.
         source: bincode::error::EncodeError,
     },
 }
 
 impl ProfileError {
-    /// A short name of the cause, for counters.
+    /// Returns a short name of the cause, for counters.
     pub fn cause(&self) -> &'static str {
         match self {
             Self::TooLarge { .. } => "too_large",
-            Self::Cut { .. } => "cut",
+            Self::WrongLength { .. } => "cut",
             Self::OtherFormat { .. } => "other_format",
             Self::Damaged => "damaged",
             Self::Malformed { .. } => "malformed",
-            Self::Unsound => "unsound",
-            Self::Unwritable { .. } => "unwritable",
+            Self::OutOfRange => "unsound",
+            Self::NotEncodable { .. } => "unwritable",
         }
     }
 }
--- a/crates/mastknot_core/src/job/queue_policy.rs
+++ b/crates/mastknot_core/src/job/queue_policy.rs
@@ -1,23 +1,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the operators' configuration says of a queue of jobs.
+/// Policy of one queue of jobs from the operators' configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuePolicy {
-    /// The queue's name.
+    /// Name of the queue.
     pub name: Arc<str>,
-    /// The service whose targets run its tasks.
+    /// Service whose targets run the tasks of the queue.
     pub service: Arc<str>,
-    /// Lower ones come first.
+    /// Priority of the queue; lower numbers come first.
     pub priority: u32,
-    /// A task that has failed so often fails its job.
+    /// Number of failed attempts of a task that fails its job.
     pub max_attempts: u32,
-    /// A job is in time within this many times its longest chain of work ...
+    /// Factor of the latency objective: a job is on time if it completes within `stretch` times its
+    /// longest chain of work plus `allowance`.
     pub stretch: f64,
-    /// ... and this much more.
+    /// Fixed part of the latency objective, added to the part given by `stretch`.
     pub allowance: Duration,
-    /// Whether other queues of its service have other priorities: scarce room then goes by priority and share.
+    /// Whether the queues of the service have several priorities. Scarce capacity is then assigned
+    /// by priority and share.
     pub is_ranked: bool,
-    /// The version of the configuration.
+    /// Version of the configuration that the policy comes from.
     pub version: u64,
 }
--- a/crates/mastknot_core/src/job/queue_ranks.rs
+++ b/crates/mastknot_core/src/job/queue_ranks.rs
@@ -1,7 +1,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Which services have queues of several priorities: there is something to decide when their targets are short.
+/// Records which services have queues of several priorities. Only for these is there a choice to
+/// make when their targets are short of capacity.
 #[derive(Clone, Debug, Default)]
 pub struct QueueRanks {
     services: HashMap<Arc<str>, ServiceRanks>,
@@ -14,7 +15,7 @@
 }
 
 impl QueueRanks {
-    /// A queue of this service has this priority.
+    /// Records that a queue of this service has this priority.
     pub fn record(&mut self, service: &str, priority: u32) {
         if let Some(known) = self.services.get_mut(service) {
             known.has_others |= known.first != priority;
@@ -27,7 +28,7 @@
         self.services.insert(Arc::from(service), known);
     }
 
-    /// Whether the queues of a service have several priorities.
+    /// Returns whether the queues of a service have several priorities.
     pub fn is_ranked(&self, service: &str) -> bool {
         self.services
             .get(service)
--- a/crates/mastknot_core/src/job/run_id.rs
+++ b/crates/mastknot_core/src/job/run_id.rs
@@ -4,23 +4,23 @@
 
 use super::JobId;
 
-/// A task of a job.
+/// Identifier of one task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TaskRef {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// Its step, from 0.
+    /// Index of the step within the job, from 0.
     pub step: u16,
-    /// Its index within the step, from 0.
+    /// Index of the task within the step, from 0.
     pub index: u16,
 }
 
-/// One start of a task.
+/// Identifier of one run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct RunId {
     /// The task.
     pub task: TaskRef,
-    /// The start's number; it rises.
+    /// Attempt number; each later start of the task has a higher one.
     pub attempt: u64,
 }
 
--- a/crates/mastknot_core/src/job/share_weights.rs
+++ b/crates/mastknot_core/src/job/share_weights.rs
@@ -4,31 +4,34 @@
 
 use crate::types::Hall;
 
-/// The weight of whoever the operators have not named.
-const USUAL_WEIGHT: u32 = 100;
+/// Weight of a hall for which the operators have set none.
+const DEFAULT_WEIGHT: u32 = 100;
 
-/// How scarce room is shared between halls whose needs are equally urgent, as of one revision of the operators' store.
+/// Weights by which scarce capacity is shared between halls whose needs are equally urgent, as of
+/// one revision of the operators' store.
 ///
-/// Like the drained halls, they are only ever replaced as a whole, by those of a higher revision.
+/// Like the drained halls, the weights are only ever replaced as a whole, by those of a higher
+/// revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ShareWeights {
-    /// The revision; 0 as long as nothing has been read.
+    /// Revision of the operators' store; 0 until the store has been read.
     pub revision: u64,
-    /// The weights of halls; one with twice the weight of another has twice its share while both wait.
+    /// Weights by hall. While two halls wait, one with twice the weight of the other gets twice its
+    /// share.
     pub halls: BTreeMap<Hall, u32>,
 }
 
 impl ShareWeights {
-    /// The largest weight.
+    /// Maximum weight of a hall.
     pub const MAX: u32 = 10_000;
 
-    /// The weight of a hall, 1 to [`ShareWeights::MOST`].
+    /// Returns the weight of a hall, from 1 to [`ShareWeights::MAX`].
     pub fn of_hall(&self, hall: &Hall) -> u32 {
         let weight = self.halls.get(hall).copied();
-        weight.unwrap_or(USUAL_WEIGHT).clamp(1, Self::MAX)
+        weight.unwrap_or(DEFAULT_WEIGHT).clamp(1, Self::MAX)
     }
 
-    /// Whether this takes the place of what is known.
+    /// Returns whether these weights are of a higher revision than `known` and so replace them.
     pub fn is_newer_than(&self, known: &Self) -> bool {
         self.revision > known.revision
     }
--- a/crates/mastknot_core/src/job/side_load.rs
+++ b/crates/mastknot_core/src/job/side_load.rs
@@ -2,16 +2,19 @@
 
 use super::RankedWork;
 
-/// What waits for room at a side, from all entries that use it, as the side tells each of them.
+/// Work from all entries of a side that waits for its capacity, as the side reports it to each of
+/// them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SideLoad {
-    /// What waits at all these entries, the most urgent first; at most [`RankedWork::MOST_RANKS`].
+    /// Work that waits at all these entries, the most urgent first, in at most
+    /// [`RankedWork::MAX_RANKS`] ranks.
     ///
-    /// An entry tells the same need to each side that it uses, so this is what all of them together are to serve, not what
-    /// comes to this side.
+    /// An entry reports the same need to each side that it uses, so this is the work that all those
+    /// sides together are to serve, not only this side.
     pub waiting: Vec<RankedWork>,
-    /// How many entries use the side for starts.
+    /// Number of entries that use the side for starts.
     pub entries: u16,
-    /// When a task of the usual size is next expected to find room, in milliseconds; 0 if it does now.
+    /// Expected time until a task of the usual size finds free capacity, in milliseconds; 0 if it
+    /// finds some now.
     pub free_capacity_in_ms: u32,
 }
--- a/crates/mastknot_core/src/job/side_report.rs
+++ b/crates/mastknot_core/src/job/side_report.rs
@@ -9,128 +9,132 @@
 };
 use crate::types::{Hall, Incarnation, NodeName};
 
-/// A side's first message on a link.
+/// First message that a side sends on a link.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SideHello {
-    /// The side.
+    /// Name of the side.
     pub side: NodeName,
-    /// Its run.
+    /// Incarnation of the side.
     pub incarnation: Incarnation,
-    /// Its hall.
+    /// Hall of the side.
     pub hall: Hall,
-    /// The version of the configuration that it holds, 0 for none.
+    /// Version of the configuration that the side holds; 0 for none.
     pub config_version: u64,
-    /// The halls that are drained, as far as it knows.
+    /// Halls that are drained, as far as the side knows.
     pub drained: Arc<DrainedHalls>,
 }
 
 /// A run that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EndedRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// How it ended.
+    /// Outcome of the run.
     pub end: EndOfRun,
-    /// How long it ran, in milliseconds.
+    /// Run time, in milliseconds.
     pub ran_ms: u32,
 }
 
 impl EndedRun {
-    /// How long it ran.
+    /// Returns the run time.
     pub fn ran(&self) -> Duration {
         Duration::from_millis(u64::from(self.ran_ms))
     }
 }
 
-/// Whether a target takes work.
+/// Readiness of a target for work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub enum TargetCondition {
-    /// No target is known or it does not answer.
+    /// No target is known, or the target does not answer.
     #[default]
     Absent,
-    /// It takes work.
+    /// The target accepts work.
     Ready,
-    /// It has failed several runs in a row and gets one at a time.
+    /// The target has failed several runs in a row and gets one run at a time.
     Probation,
-    /// It is leaving.
+    /// The target is leaving.
     Draining,
 }
 
 impl TargetCondition {
-    /// Whether work may be given to the target.
+    /// Returns whether the target may be given work.
     pub fn takes_work(self) -> bool {
         matches!(self, Self::Ready | Self::Probation)
     }
 }
 
-/// How a side's target stands.
+/// State of a side and its target, as reported to one entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SideStatus {
-    /// The number of this report; it rises.
+    /// Number of this report; it rises with each report.
     pub number: u64,
-    /// How many starts of this entry on this link the figures below include.
+    /// Number of this entry's starts on this link that the report takes into account.
     pub starts_included: u64,
-    /// What this entry may start now.
+    /// Capacity that this entry may use for starts now.
     pub free: Capacity,
-    /// What is free besides, and not this entry's to start, where room is granted.
+    /// Capacity that is also free but that this entry may not use, where capacity is granted.
     pub withheld: Capacity,
-    /// Whether some of it is kept for this entry, until its next heartbeat.
+    /// Whether part of `free` is reserved for this entry until its next heartbeat.
     pub is_offer: bool,
-    /// What of it is granted to this entry alone, where room is granted.
+    /// Part of `free` that is granted to this entry exclusively, where capacity is granted.
     pub grant: Option<CapacityGrant>,
-    /// What waits at the side, where room is granted and something waits or has just ceased to.
+    /// Work that waits for the side. Present where capacity is granted and work waits or has just
+    /// stopped waiting.
     pub load: Option<SideLoad>,
-    /// Whether it takes work.
+    /// Readiness of the target for work.
     pub condition: TargetCondition,
-    /// Whether the link is on standby: the entry must not order starts.
+    /// Whether the link is on standby, so that the entry must not order starts.
     pub is_standby: bool,
-    /// Whether the target is slower than usual for a while: it has just started or stood without work.
+    /// Whether the target is temporarily slower than usual because it has just started or was idle.
     pub is_cold: bool,
-    /// Recent run times against their estimates, in percent.
+    /// Recent run times relative to their estimates, in percent.
     pub slowdown_percent: u32,
-    /// The target, when it has changed since the last report on this link.
+    /// Profile of the target, if it has changed since the last report on this link.
     pub target: Option<TargetProfile>,
     /// Runs of this entry that have ended.
     pub ended: Vec<EndedRun>,
-    /// The version of the configuration that the side holds, if that has changed since the last
-    /// report on this link.
+    /// Version of the configuration that the side holds, if it has changed since the last report on
+    /// this link.
     pub config_version: Option<u64>,
-    /// The halls that are drained, if the entry is not known to have heard it.
+    /// The drained halls, if the entry is not known to have received them.
     pub drained: Option<Arc<DrainedHalls>>,
 }
 
-/// What a side says to an entry.
+/// Message from a side to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum SideReport {
-    /// The first message.
+    /// First message on the link.
     Hello(SideHello),
-    /// After the entry's welcome: the runs that go on, and those that have ended. Any other run
-    /// that the entry has ordered here is over or never began.
+    /// Answer to the entry's welcome. Any other run that the entry has ordered at this side is over
+    /// or never began.
     Resume {
-        /// Runs that go on; of a side that has restarted, those of all entries.
+        /// Runs that continue. A side that has restarted lists those of all entries.
         running: Vec<RunId>,
         /// Runs that have ended and may not have been reported.
         ended: Vec<EndedRun>,
-        /// Whether the side grants claims of new jobs. If not it says so once it does.
+        /// Whether the side grants claims of new jobs. If not, it sends [`SideReport::TakesClaims`]
+        /// once it does.
         takes_claims: bool,
     },
-    /// From now on the side grants claims of new jobs: entries have claimed again what they had before it started.
+    /// The side grants claims of new jobs from now on: the entries have renewed the claims that
+    /// they held before the side started.
     TakesClaims,
-    /// How the target stands.
+    /// State of the side and its target.
     Status(SideStatus),
-    /// A life of the target has ended by a crash. All entries are told, whose runs there were or not.
+    /// An incarnation of the target has ended by a crash. The side sends this to all entries,
+    /// including those that had no runs there.
     TargetCrashed(TargetCrash),
-    /// Asks for the entries that the entry knows.
+    /// Requests the entries that the entry knows.
     FetchEntries,
-    /// Asks for a part of the entry's configuration.
+    /// Requests a part of the entry's configuration.
     FetchDocument(DocumentRequest),
-    /// A part of the configuration, for an entry that has asked.
+    /// Part of the configuration, in answer to an entry's request.
     DocumentPart(DocumentPart),
-    /// Says to an entry how its claim of a job stands.
+    /// Answer to an entry's claim of a job.
     Claim {
-        /// The job.
+        /// Identifier of the job.
         job: JobId,
-        /// How it stands.
+        /// State of the claim.
         answer: ClaimAnswer,
     },
 }
--- a/crates/mastknot_core/src/job/step_spec.rs
+++ b/crates/mastknot_core/src/job/step_spec.rs
@@ -3,23 +3,23 @@
 
 use super::Capacity;
 
-/// A step of a job: tasks of one kind.
+/// A step of a job: a number of tasks of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u16,
-    /// What each takes.
+    /// Capacity that each task requires.
     pub required_capacity: Capacity,
-    /// A guess of a task's time.
+    /// Estimated run time of one task.
     pub estimate: Duration,
-    /// Earlier steps that must be done first.
+    /// Indices of earlier steps that must complete before this one starts.
     pub after: Vec<u16>,
-    /// A label that the target must have.
+    /// Label that the target must have.
     pub required_label: Option<Arc<str>>,
-    /// The rack where its data lies.
+    /// Rack that holds the data of the step.
     pub preferred_rack: Option<Arc<str>>,
-    /// How many of its tasks one target may hold; 0 for any number.
+    /// Maximum number of tasks of the step on one target; 0 for no limit.
     pub max_per_target: u16,
-    /// What its tasks run, if the caller names it.
+    /// Name of the program that the tasks run, if the caller gives one.
     pub image: Option<Arc<str>>,
 }
--- a/crates/mastknot_core/src/job/target_crash.rs
+++ b/crates/mastknot_core/src/job/target_crash.rs
@@ -4,57 +4,61 @@
 
 use super::{RunId, TargetId, TaskKind};
 
-/// Two times that the same task ran until its target crashed differ by less than this: the crash is noticed some
-/// milliseconds late, and the clock of the start is that of the order.
-const ALIKE_SLACK: Duration = Duration::from_millis(10);
-/// Longer runs may differ by this part of the shorter one besides.
-const ALIKE_SHARE: u32 = 64;
+/// Difference up to which two run times of the same task until a crash count as similar. A crash is
+/// detected some milliseconds late, and run times are measured from the order instead of the start.
+const RUN_TIME_TOLERANCE: Duration = Duration::from_millis(10);
+/// Further tolerance for longer runs: the shorter run time divided by this number.
+const RUN_TIME_DIVISOR: u32 = 64;
 
-/// A run that was under way when its target crashed.
+/// A run that was in progress when its target crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CrashedRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// The kind of its task.
+    /// Kind of the task.
     pub kind: TaskKind,
-    /// How long it had run, in milliseconds, as far as its side knows.
+    /// Run time until the crash, in milliseconds, as far as the side knows.
     pub ran_ms: u32,
-    /// Whether the target is known to have started it.
+    /// Whether the target is known to have started the run.
     pub has_begun: bool,
-    /// Whether it had gone on for as long as its caller expected: it may have ended, and the word of that was lost with
-    /// its target.
+    /// Whether the run had lasted as long as its caller expected. It may then have ended, with the
+    /// report of its end lost in the crash.
     pub may_have_ended: bool,
 }
 
 impl CrashedRun {
-    /// How long it had run.
+    /// Returns the run time until the crash.
     pub fn ran(&self) -> Duration {
         Duration::from_millis(u64::from(self.ran_ms))
     }
 }
 
-/// A life of a target has ended by a crash: all that ran there shares it, though one run may have brought it about.
+/// Crash that ended an incarnation of a target. All runs on the target are listed, although a
+/// single one may have caused the crash.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TargetCrash {
-    /// The life that has ended.
+    /// The incarnation that has ended.
     pub target: TargetId,
-    /// How long ago that was when this was sent, in milliseconds.
+    /// Time between the crash and the sending of this message, in milliseconds.
     pub ago_ms: u32,
-    /// Whether the target was silent before this was known, in place of resetting and refusing connections: when it
-    /// crashed is not known then, and runs went on for longer than is said here.
+    /// Whether the target was silent before the crash was detected, instead of resetting or
+    /// refusing connections. The time of the crash is then unknown, and the runs lasted longer than
+    /// reported here.
     pub was_silent: bool,
-    /// What ran there, the youngest first.
+    /// Runs that were in progress, the most recently started first.
     pub runs: Vec<CrashedRun>,
 }
 
-/// Whether a task that ran for these times until its targets crashed may have crashed both: what a task does to
-/// a target comes at the same point of its work, while a crash of other causes finds it at any.
+/// Returns whether a task that ran for these times on two targets until they crashed may have
+/// caused both crashes. A task that crashes targets does so at the same point of its work, while
+/// crashes of other causes occur at any point.
 pub fn are_similar_run_times(first: Duration, second: Duration) -> bool {
     let shorter = first.min(second);
-    first.abs_diff(second) <= ALIKE_SLACK + shorter / ALIKE_SHARE
+    first.abs_diff(second) <= RUN_TIME_TOLERANCE + shorter / RUN_TIME_DIVISOR
 }
 
-/// How long a task must run to show that it does not crash targets after this time.
+/// Returns how long a task must run to show that it does not crash targets after the run time
+/// `ran`.
 pub fn trial_time(ran: Duration) -> Duration {
-    ran + ran / ALIKE_SHARE + 2 * ALIKE_SLACK
+    ran + ran / RUN_TIME_DIVISOR + 2 * RUN_TIME_TOLERANCE
 }
--- a/crates/mastknot_core/src/job/target_profile.rs
+++ b/crates/mastknot_core/src/job/target_profile.rs
@@ -5,22 +5,23 @@
 
 use super::Capacity;
 
-/// One life of a target: a target may start again under its old name.
+/// One incarnation of a target. A target may restart under the same name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
 pub struct TargetId {
-    /// The target's name.
+    /// Name of the target.
     pub name: Arc<str>,
-    /// When this life started, in Unix milliseconds by the target's clock; 0 if it does not say.
+    /// Start time of this incarnation by the target's clock, in Unix milliseconds; 0 if the target
+    /// does not report it.
     pub started_at_ms: u64,
 }
 
 impl TargetId {
-    /// A life whose start is not known.
+    /// Returns an incarnation whose start time is not known.
     pub fn named(name: impl Into<Arc<str>>) -> Self {
         Self::started_at(name, 0)
     }
 
-    /// A life that started at this time.
+    /// Returns an incarnation with this start time.
     pub fn started_at(name: impl Into<Arc<str>>, born_ms: u64) -> Self {
         Self {
             name: name.into(),
@@ -28,8 +29,8 @@
         }
     }
 
-    /// Whether this is a life of the same name that ended before `other` began. One that does not say when it started
-    /// comes from before targets did.
+    /// Returns whether this is an earlier incarnation of the same target than `other`. An
+    /// incarnation without a start time counts as earlier than those with one.
     pub fn precedes(&self, other: &Self) -> bool {
         self.name == other.name && self.started_at_ms < other.started_at_ms
     }
@@ -44,15 +45,15 @@
     }
 }
 
-/// What a target says of itself.
+/// A target's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TargetProfile {
-    /// This life of it.
+    /// Incarnation of the target.
     pub id: TargetId,
-    /// The service that it serves.
+    /// Service that the target runs.
     pub service: Arc<str>,
-    /// What it has in all.
+    /// Total capacity of the target.
     pub capacity: Capacity,
-    /// Its kind and rack.
+    /// Labels of the target, such as its class and rack.
     pub labels: Vec<Arc<str>>,
 }
--- a/crates/mastknot_core/src/job/waiting_need.rs
+++ b/crates/mastknot_core/src/job/waiting_need.rs
@@ -4,48 +4,51 @@
 
 use super::Capacity;
 
-/// What waits for room at an entry, as it tells its sides.
+/// Work that waits for capacity at an entry, as the entry reports it to its sides.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WaitingNeed {
-    /// How urgent the first of it is; 0 is the most urgent.
+    /// Rank of the most urgent waiting work; 0 is the most urgent.
     pub rank: u8,
-    /// What the tasks of that rank take together.
+    /// Capacity that all waiting tasks of this rank require together.
     pub required_capacity: Capacity,
-    /// What the smallest of them takes.
+    /// Capacity that the smallest of these tasks requires.
     pub smallest_task: Capacity,
-    /// What the waiting tasks of its widest job of that rank take together.
+    /// Capacity that the waiting tasks of the largest job of this rank require together.
     pub widest_job: Capacity,
-    /// How long the first of it has waited, in milliseconds.
+    /// Longest time that work of this rank has waited, in milliseconds.
     pub waited_ms: u32,
-    /// All that waits, the most urgent first. Empty where room is not granted.
+    /// All waiting work, the most urgent first. Empty where capacity is not granted.
     pub by_rank: Vec<RankedWork>,
 }
 
 impl WaitingNeed {
-    /// Takes in a job of the rank whose waiting tasks take `room` together and that has waited for so long.
-    pub fn record_job(&mut self, room: Capacity, waited: Duration) {
-        if room.cpu_millis > self.widest_job.cpu_millis {
-            self.widest_job = room;
+    /// Records a job of this rank that has waited for `waited` and whose waiting tasks together
+    /// require `required`.
+    pub fn record_job(&mut self, required: Capacity, waited: Duration) {
+        if required.cpu_millis > self.widest_job.cpu_millis {
+            self.widest_job = required;
         }
         let waited_ms = waited.as_millis().min(u128::from(u32::MAX)) as u32;
         self.waited_ms = self.waited_ms.max(waited_ms);
     }
 }
 
-/// Work that waits, of one rank.
+/// Waiting work of one rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RankedWork {
-    /// How urgent it is; 0 is the most urgent.
+    /// Urgency rank; 0 is the most urgent.
     pub rank: u8,
-    /// Its processor times its expected time on the middle of all targets, in thousandths of a core times milliseconds.
+    /// Required processor time, in thousandths of a core times milliseconds: the required processor
+    /// capacity times the expected run time on a target of average speed.
     pub cpu_millis_ms: u64,
 }
 
 impl RankedWork {
-    /// The most ranks that are told of. What is less urgent than the last but one is told of as the last one.
+    /// Maximum number of ranks in a report. The last rank includes all work that is less urgent.
     pub const MAX_RANKS: usize = 6;
 
-    /// The same work, the most urgent first, in [`Self::MOST_RANKS`] ranks at most.
+    /// Returns `work`, sorted by urgency, in at most [`Self::MAX_RANKS`] ranks: the last rank
+    /// includes the rest.
     pub fn limit_ranks(mut work: Vec<Self>) -> Vec<Self> {
         let rest = work.split_off(work.len().min(Self::MAX_RANKS));
         if let Some(last) = work.last_mut() {
