--- a/crates/mastknot_core/src/config/config_replica.rs
+++ b/crates/mastknot_core/src/config/config_replica.rs
@@ -3,22 +3,23 @@
 
 use crate::message::{ConfigDelta, ConfigItem, ResourceName};
 
-/// What [`ConfigReplica::apply`] did with a delta.
+/// Result of [`ConfigReplica::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The replica moved to the delta's version.
+    /// The replica has moved to the delta's version.
     Advanced,
-    /// The delta is not newer than what is in force; nothing changed.
+    /// The delta is not newer than the version in force; nothing has changed.
     Older,
-    /// The delta starts after the replica's version: something in between is missing.
+    /// The delta starts after the replica's version, so changes in between are missing; nothing has
+    /// changed.
     Gap,
 }
 
 /// One node's copy of the configuration.
 ///
-/// The version only rises, and so does the version of each resource: a stale read, a repeated
-/// watch event or a late neighbour changes nothing. Deleted resources leave their version behind,
-/// so an old value cannot bring them back.
+/// Its version only rises, and so does the version of each resource, so a stale read, a repeated
+/// watch event or a late message from another node has no effect. The version of a deleted resource
+/// is kept, so that an older value cannot restore the resource.
 ///
 /// # Examples
 ///
@@ -46,12 +47,13 @@
 }
 
 impl ConfigReplica {
-    /// The version in force.
+    /// Returns the version in force.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// How many deltas and snapshots were ignored for being older than what is in force.
+    /// Returns how many deltas and full copies were ignored because they were older than the
+    /// version in force.
     pub fn older_ignored(&self) -> u64 {
         self.older_ignored
     }
@@ -75,7 +77,8 @@
         Applied::Advanced
     }
 
-    /// A full copy names every resource, so one that it leaves out has been deleted.
+    /// Marks the resources that a full copy leaves out as deleted, since it names every existing
+    /// resource.
     fn delete_absent(&mut self, full: &ConfigDelta) {
         let named: std::collections::BTreeSet<_> =
             full.items.iter().map(|item| &item.resource).collect();
@@ -97,26 +100,28 @@
         }
     }
 
-    /// The JSON text of a resource, if it exists.
+    /// Returns the JSON text of a resource, if the resource exists.
     pub fn get(&self, kind: &str, name: &str) -> Option<Arc<str>> {
         self.items
             .get(&ResourceName::new(kind, name))
             .and_then(|item| item.value.clone())
     }
 
-    /// The item of a resource with its version; a deleted one has no value.
+    /// Returns the item of a resource with its version. A deleted resource has an item without a
+    /// value.
     pub fn item(&self, resource: &ResourceName) -> Option<&ConfigItem> {
         self.items.get(resource)
     }
 
-    /// All live resources of a kind.
+    /// Returns all existing resources of a kind.
     pub fn of_kind<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a ConfigItem> {
         self.items
             .values()
             .filter(move |item| &*item.resource.kind == kind && item.value.is_some())
     }
 
-    /// What a replica at `base` lacks; a full copy for `base` zero.
+    /// Returns the changes that a replica at version `base` lacks, or a full copy if `base` is
+    /// zero.
     pub fn delta_since(&self, base: u64) -> ConfigDelta {
         let items = self
             .items
--- a/crates/mastknot_core/src/config/config_write.rs
+++ b/crates/mastknot_core/src/config/config_write.rs
@@ -1,52 +1,52 @@
 use serde::{Deserialize, Serialize};
 
-/// A resource as the store holds it: the operators' value with the marks of its write.
+/// A resource as the store holds it: the operators' value with the identifiers of its write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredResource {
-    /// The write that made this version; never used twice.
+    /// Identifier of the write that created this version, never used twice.
     pub nonce: String,
-    /// The nonce of the version that it replaced, if there was one.
+    /// Nonce of the version that this one replaced, if there was one.
     pub replaces: Option<String>,
-    /// The operators' value; none marks a deletion.
+    /// The operators' value; `None` marks a deletion.
     pub value: Option<serde_json::Value>,
 }
 
-/// What the store did with one call of a write.
+/// Result of one compare-and-swap call to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteCall {
     /// The swap took effect at this revision.
     Swapped(u64),
     /// The comparison failed.
     NotSwapped,
-    /// No answer came: it may have taken effect, or may yet.
+    /// No answer was received: the swap may have taken effect, or may still do so.
     NoAnswer,
 }
 
-/// What to do next with a write.
+/// Next step of a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteStep {
-    /// Send the compare-and-swap (again): replace the revision by the resource.
+    /// Send the compare-and-swap, possibly again: replace the expected revision by the resource.
     Swap {
-        /// The revision that must still stand; zero for none.
+        /// Revision that must still be current; zero if the resource must not exist.
         expected_revision: u64,
-        /// What to write.
+        /// Resource to write.
         resource: StoredResource,
     },
-    /// Read the resource, consistently.
+    /// Read the resource with a consistent read.
     ReadBack,
-    /// The write took effect at this revision, for certain.
+    /// The write took effect at this revision; this is certain.
     Accepted(u64),
-    /// Another write came first, for certain: ours never takes effect.
+    /// Another write came first, and this write never takes effect; this is certain.
     Conflict(Option<(u64, StoredResource)>),
-    /// Ours may have taken effect before others replaced it; nobody can tell any more.
+    /// This write may have taken effect before others replaced it; it can no longer be determined.
     Undecided(Option<(u64, StoredResource)>),
 }
 
-/// One operator's write, from the first call to a certain end.
+/// An operator's write, from the first call to its outcome.
 ///
-/// After a lost answer it reads back and compares nonces before it says anything. As long as the
-/// old revision still stands, a copy of the swap may be on its way, so the swap is sent again:
-/// only one copy can take effect.
+/// After a lost answer the resource is read back and nonces are compared before an outcome is
+/// reported. While the old revision is still current, an earlier copy of the swap may be in
+/// transit, so the swap is sent again: at most one copy can take effect.
 ///
 /// # Examples
 ///
@@ -55,8 +55,8 @@
 ///
 /// let mut write = ConfigWrite::new(4, Some("old".into()), "mine", Some(1.into()));
 /// let WriteStep::Swap { resource, .. } = write.first() else { panic!() };
-/// assert_eq!(write.called(WriteCall::NoAnswer), WriteStep::ReadBack);
-/// assert_eq!(write.read_back(Some((5, resource))), WriteStep::Accepted(5));
+/// assert_eq!(write.on_call_result(WriteCall::NoAnswer), WriteStep::ReadBack);
+/// assert_eq!(write.on_read_back(Some((5, resource))), WriteStep::Accepted(5));
 /// ```
 #[derive(Clone, Debug)]
 pub struct ConfigWrite {
@@ -67,7 +67,8 @@
 }
 
 impl ConfigWrite {
-    /// A write that replaces revision `expected_revision`, which the write `base_nonce` made.
+    /// Returns a write that replaces revision `expected_revision`, which was written with the nonce
+    /// `base_nonce`.
     pub fn new(
         expected_revision: u64,
         base_nonce: Option<String>,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn first(&self) -> WriteStep {
         self.swap()
     }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The store has answered a swap, or has not.
+    /// Handles the result of a swap, or its lost answer, and returns the next step.
     pub fn on_call_result(&mut self, call: WriteCall) -> WriteStep {
         match call {
             WriteCall::Swapped(revision) => WriteStep::Accepted(revision),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The store has answered the read.
+    /// Handles the result of a read and returns the next step.
     pub fn on_read_back(&self, found: Option<(u64, StoredResource)>) -> WriteStep {
         let revision = found.as_ref().map_or(0, |(revision, _)| *revision);
         let nonce = found.as_ref().map(|(_, resource)| &resource.nonce);
@@ -129,7 +130,7 @@
         }
         let replaced_ours = replaced == Some(&Some(self.resource.nonce.clone()));
         match found {
-            // Ours was accepted and has been replaced since.
+            // This write was accepted and has been replaced since.
             Some((revision, _)) if replaced_ours => WriteStep::Accepted(revision),
             found => WriteStep::Undecided(found),
         }
--- a/crates/mastknot_core/src/config/drained_hall.rs
+++ b/crates/mastknot_core/src/config/drained_hall.rs
@@ -1,16 +1,18 @@
 use serde::{Deserialize, Serialize};
 
-/// The kind of the resources that drain halls; a hall is drained as long as one has its name.
+/// Kind of the resources that drain halls. A hall is drained while a resource of this kind with its
+/// name exists.
 pub const DRAINED_HALL_KIND: &str = "drained-hall";
 
-/// A drained hall: its targets get no new work, what runs there ends.
+/// A drained hall: its targets get no new work, and running work continues to its end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainedHall {
-    /// When it was drained, in milliseconds since 1970 on the clock of whoever drained it; 0 if that is not known.
+    /// Time at which the hall was drained, in milliseconds since 1970 on the clock of the process
+    /// that drained it; 0 if unknown.
     #[serde(default)]
     pub since_ms: u64,
-    /// Why, for other operators.
+    /// Reason for the drain, shown to other operators.
     #[serde(default)]
     pub reason: String,
 }
--- a/crates/mastknot_core/src/config/hall_share.rs
+++ b/crates/mastknot_core/src/config/hall_share.rs
@@ -3,30 +3,31 @@
 
 use crate::job::ShareWeights;
 
-/// The kind of the resources that weigh halls; a hall without one has the usual weight of 100.
+/// Kind of the resources that set the weights of halls. A hall without one has the default weight
+/// of 100.
 pub const HALL_SHARE_KIND: &str = "hall-share";
 
-/// What a hall gets of room that is short, against other halls that wait.
+/// Weight of a hall when scarce capacity is shared between halls that wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HallShare {
-    /// 1 to [`ShareWeights::MOST`]; twice the weight is twice the share.
+    /// Weight from 1 to [`ShareWeights::MAX`]; twice the weight gives twice the share.
     pub weight: u32,
 }
 
-/// Why a value is no share of a hall.
+/// Reason why a value is not a valid share of a hall.
 #[derive(Debug, Snafu)]
 pub enum HallShareError {
     /// A field is unknown, missing or of the wrong type.
     #[snafu(display("{source}"))]
     Fields {
-        /// What is wrong.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The weight is out of its range.
+    /// The weight is out of range.
     #[snafu(display("`weight` is {weight}, allowed is 1 to {}", ShareWeights::MAX))]
     Weight {
-        /// The weight.
+        /// Weight that was given.
         weight: u32,
     },
 }
@@ -40,7 +41,7 @@
         Ok(share)
     }
 
-    /// Whether a hall may have this weight.
+    /// Returns whether a hall may have this weight.
     pub fn is_weight(weight: u32) -> bool {
         (1..=ShareWeights::MAX).contains(&weight)
     }
--- a/crates/mastknot_core/src/config/mod.rs
+++ b/crates/mastknot_core/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration as every node holds it.
+//! The configuration that each node holds.
 
 mod config_replica;
 mod config_write;
--- a/crates/mastknot_core/src/config/profile.rs
+++ b/crates/mastknot_core/src/config/profile.rs
@@ -1,31 +1,33 @@
 use serde::{Deserialize, Serialize};
 
-/// The weights of the one policy, as the operators set them.
+/// Weights of the scheduling policy, set by the operators.
 ///
-/// Kalahari weighs response time more, the co-op wasted messages; both run the same code.
+/// Both presets run the same code: `kalahari` favours a short response time, `co_op` few wasted
+/// messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
-    /// The share of an entry's idle credits that it keeps when a peer asks, in percent.
+    /// Share of its idle credits that an entry keeps when a peer asks for some, in percent.
     pub keep_credits_percent: u32,
-    /// How long an entry without credits waits before it asks again, in milliseconds.
+    /// Time that an entry without credits waits before it asks again, in milliseconds.
     pub ask_interval_ms: u32,
-    /// Credits are lent to a peer's large want in batches of this many while nothing waits here.
+    /// Number of credits per batch in which credits are lent to a peer with a large demand while no
+    /// work waits at this entry.
     pub lend_batch: u32,
-    /// By how much work, in seconds of one slot, a team or customer may run ahead of another that
-    /// waits, for the sake of short jobs.
+    /// Amount of work, in seconds of one slot, by which a team or customer may run ahead of another
+    /// that waits, for the benefit of short jobs.
     pub fairness_slack_s: u32,
-    /// Idle credits that an entry keeps alive beyond its recent use.
+    /// Number of idle credits that an entry keeps alive beyond its recent use.
     pub idle_reserve: u32,
-    /// Retries and hedges allowed, as a share of recent requests, in percent.
+    /// Retries and hedges that are allowed, as a share of recent requests, in percent.
     pub retry_budget_percent: u32,
-    /// A repeatable request is hedged after this multiple of its typical time, in percent;
-    /// zero never hedges.
+    /// Time after which a repeatable request is hedged, in percent of its typical time; zero
+    /// disables hedging.
     pub hedge_after_percent: u32,
 }
 
 impl Profile {
-    /// Response time first.
+    /// Returns the weights that favour a short response time.
     pub const fn kalahari() -> Self {
         Self {
             keep_credits_percent: 5,
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Wasted messages first.
+    /// Returns the weights that favour few wasted messages.
     pub const fn co_op() -> Self {
         Self {
             keep_credits_percent: 5,
--- a/crates/mastknot_core/src/config/service.rs
+++ b/crates/mastknot_core/src/config/service.rs
@@ -6,21 +6,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The path of the target's HTTP server that runs a task of the service.
+    /// Path on the target's HTTP server that runs a task of the service.
     pub path: String,
-    /// Whether a request may run more than once (a payment may not).
+    /// Whether a request may run more than once; a payment, for example, may not.
     #[serde(default)]
     pub repeatable: bool,
-    /// The longest deadline a caller may ask for, in milliseconds.
+    /// Longest deadline that a caller may ask for, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub max_deadline_ms: u32,
-    /// How long a task takes as a rule, in milliseconds, until it has been measured.
+    /// Typical run time of a task, in milliseconds, used until run times have been measured.
     #[serde(default = "default_typical_ms")]
     pub typical_ms: u32,
-    /// Accelerators that each task needs of its worker.
+    /// Number of accelerators that each task needs on its worker.
     #[serde(default)]
     pub accelerators: u16,
-    /// Memory that each task needs of its worker, in MiB.
+    /// Memory that each task needs on its worker, in MiB.
     #[serde(default)]
     pub memory_mib: u32,
 }
@@ -34,7 +34,7 @@
 }
 
 impl Service {
-    /// The typical time of a task.
+    /// Returns the typical run time of a task.
     pub fn typical(&self) -> Duration {
         Duration::from_millis(u64::from(self.typical_ms))
     }
--- a/crates/mastknot_core/src/config/team.rs
+++ b/crates/mastknot_core/src/config/team.rs
@@ -4,12 +4,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Tasks that it may run at once while others wait.
+    /// Number of tasks that the team may run at the same time while others wait.
     pub quota: u32,
-    /// Its share against other teams that wait.
+    /// Weight of the team's share against other teams that wait.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The hall whose entries and targets it prefers.
+    /// Hall whose entries and targets the team prefers.
     #[serde(default)]
     pub home_hall: Option<String>,
 }
--- a/crates/mastknot_core/src/message/answer.rs
+++ b/crates/mastknot_core/src/message/answer.rs
@@ -2,11 +2,11 @@
 
 use super::{NotRunReason, Payload, Refusal};
 
-/// Whether a submission's work ran.
+/// Whether the work of a submission ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// Nothing of it started, for certain.
+    /// Nothing of it started; this is certain.
     NotRun,
     /// All of it ran.
     Ran,
@@ -14,21 +14,21 @@
     Unknown,
 }
 
-/// What a target answered to one task.
+/// Answer of a target to one task.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TaskResult {
-    /// The HTTP status of the target.
+    /// HTTP status that the target returned.
     pub status: u16,
-    /// The body of its answer.
+    /// Body of the answer.
     pub body: Payload,
 }
 
-/// How one start ended, as its side saw it.
+/// Outcome of one start, as its side saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum TaskOutcome {
     /// The target answered.
     Done(TaskResult),
-    /// The target did not run it, for certain.
+    /// The target did not run the task; this is certain.
     NotRun(NotRunReason),
     /// The target's answer was lost; the task may have run.
     Lost,
@@ -36,7 +36,7 @@
     Stopped,
 }
 
-/// Why a submission failed after it was accepted.
+/// Reason why a submission failed after it was accepted.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, serde::Serialize,
 )]
@@ -56,36 +56,37 @@
     HolderLost,
     /// The entry that held the submission stopped before it could finish.
     HolderStopped,
-    /// The answer was kept no longer; the work ran.
+    /// The work ran, but its answer is no longer kept.
     AnswerEvicted,
 }
 
-/// The final answer to an accepted submission: complete or failed, never partial.
+/// Final answer to an accepted submission. The submission is complete or failed, never partial.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum SubmissionAnswer {
-    /// Every task's result, in the order of the tasks.
+    /// Results of all tasks, in the order of the tasks.
     Complete(Vec<TaskResult>),
     /// The submission failed as a whole.
     Failed {
-        /// Why.
+        /// Reason for the failure.
         reason: FailReason,
-        /// Whether anything of it ran.
+        /// Whether any of the work ran.
         ran: Ran,
     },
 }
 
-/// What a caller is told.
+/// Reply to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Reply {
     /// The final answer.
     Answered(SubmissionAnswer),
-    /// Accepted and not finished yet (only to a caller that does not wait).
+    /// The submission is accepted and not finished. Only callers that do not wait receive this
+    /// reply.
     Pending {
-        /// Tasks that have answered so far.
+        /// Number of tasks that have answered so far.
         done: u16,
-        /// Tasks in all.
+        /// Total number of tasks.
         count: u16,
     },
-    /// Refused.
+    /// The submission was refused.
     Refused(Refusal),
 }
--- a/crates/mastknot_core/src/message/config_delta.rs
+++ b/crates/mastknot_core/src/message/config_delta.rs
@@ -4,19 +4,19 @@
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// The kind and name of one stored resource.
+/// Kind and name of one stored resource.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
 pub struct ResourceName {
-    /// The kind, such as `service`.
+    /// Kind of the resource, such as `service`.
     pub kind: Arc<str>,
-    /// The name within the kind.
+    /// Name within the kind.
     pub name: Arc<str>,
 }
 
 impl ResourceName {
-    /// The resource `name` of `kind`.
+    /// Returns the resource `name` of the kind `kind`.
     pub fn new(kind: impl Into<Arc<str>>, name: impl Into<Arc<str>>) -> Self {
         Self {
             kind: kind.into(),
@@ -34,21 +34,20 @@
 /// One resource at one version.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigItem {
-    /// Which resource.
+    /// Kind and name of the resource.
     pub resource: ResourceName,
-    /// The version of the store at which it was written or deleted.
+    /// Version of the store at which the resource was written or deleted.
     pub version: u64,
-    /// Its JSON text, none when it was deleted.
+    /// JSON text of the resource; `None` if it was deleted.
     pub value: Option<Arc<str>>,
 }
 
 /// Changes to the configuration, complete up to `version`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigDelta {
-    /// The changes apply to a replica that has everything up to this version;
-    /// zero for a full copy.
+    /// Version that a replica must have reached for the changes to apply to it; 0 for a full copy.
     pub base: u64,
-    /// The store's version after the changes.
+    /// Version of the store after the changes.
     pub version: u64,
     /// The changed resources.
     pub items: Vec<ConfigItem>,
--- a/crates/mastknot_core/src/message/credit.rs
+++ b/crates/mastknot_core/src/message/credit.rs
@@ -2,24 +2,24 @@
 
 use crate::types::{Incarnation, NodeName};
 
-/// The sequence number of a credit within its side's incarnation.
+/// Sequence number of a credit within the incarnation of its side.
 pub type CreditSeq = u64;
 
-/// The right to start one task on one slot of a side, once, for a short time.
+/// Right to start one task on one slot of a side, once, for a short time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Credit {
-    /// The run of the side that granted it; a later run refuses it.
+    /// Incarnation of the side that granted the credit. Later incarnations refuse it.
     pub incarnation: Incarnation,
-    /// Its number, never given twice in one incarnation.
+    /// Number of the credit, used only once per incarnation.
     pub seq: CreditSeq,
-    /// What is left of its life when the message is sent, in milliseconds.
+    /// Remaining lifetime of the credit when the message is sent, in milliseconds.
     pub lifetime_ms: u32,
 }
 
 /// A credit together with the side that granted it, as one entry lends it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SideCredit {
-    /// The side that granted the credit.
+    /// Side that granted the credit.
     pub side: NodeName,
     /// The credit.
     pub credit: Credit,
--- a/crates/mastknot_core/src/message/demand.rs
+++ b/crates/mastknot_core/src/message/demand.rs
@@ -1,10 +1,10 @@
 use bincode::{Decode, Encode};
 
-/// How many credits an entry can use, and for what.
+/// Number of credits that an entry can use, and the urgency of its work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Demand {
-    /// How many.
+    /// Number of credits.
     pub wanted: u32,
-    /// The order key of the submission that goes first there; lower is more urgent.
+    /// Order key of the submission that the credits would serve first; lower is more urgent.
     pub urgency: u64,
 }
--- a/crates/mastknot_core/src/message/entry_message.rs
+++ b/crates/mastknot_core/src/message/entry_message.rs
@@ -3,50 +3,50 @@
 use super::{ConfigDelta, CreditSeq, Demand, TaskOrder};
 use crate::types::{Incarnation, NodeName, SubmissionKey};
 
-/// What an entry sends to a side.
+/// Message from an entry to a side.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum EntryMessage {
-    /// The first message on a link.
+    /// First message on a link.
     Welcome {
-        /// The entry's name.
+        /// Name of the entry.
         entry: NodeName,
-        /// The run of the entry.
+        /// Incarnation of the entry.
         incarnation: Incarnation,
-        /// The addresses of all entries of the roster, so that the side can join them.
+        /// Addresses of all entries in the roster, so that the side can connect to them.
         entries: Vec<String>,
     },
-    /// Start a task on a credit.
+    /// Starts a task with a credit.
     Start {
-        /// The run of the side that granted the credit.
+        /// Incarnation of the side that granted the credit.
         incarnation: Incarnation,
         /// The credit.
         credit: CreditSeq,
         /// The task.
         order: TaskOrder,
-        /// What still waits at the entry.
+        /// Demand for credits of the work that still waits at the entry.
         demand: Demand,
     },
-    /// Give idle credits back and say how many new ones are wanted.
+    /// Returns idle credits and reports the demand for new ones.
     Exchange {
-        /// The run of the side that granted the credits.
+        /// Incarnation of the side that granted the credits.
         incarnation: Incarnation,
-        /// The credits that the entry will not spend.
+        /// Credits that the entry will not spend.
         returned: Vec<CreditSeq>,
-        /// The new credits that the entry would keep.
+        /// Demand for new credits.
         demand: Demand,
     },
-    /// Stop what runs of a submission; its answer is no longer wanted.
+    /// Stops the running tasks of a submission whose answer is no longer wanted.
     Stop {
-        /// The submission.
+        /// Key of the submission.
         key: SubmissionKey,
     },
     /// Configuration to put in force.
     Config(ConfigDelta),
-    /// Ask what the side remembers of a submission.
+    /// Asks which tasks of a submission the side remembers.
     Recall {
-        /// The submission.
+        /// Key of the submission.
         key: SubmissionKey,
     },
-    /// The operators want the side to leave.
+    /// Asks the side to leave, on the operators' request.
     Drain,
 }
--- a/crates/mastknot_core/src/message/mod.rs
+++ b/crates/mastknot_core/src/message/mod.rs
@@ -22,5 +22,5 @@
 pub use submission::{Digest, Submission, SubmissionKind};
 pub use task_order::TaskOrder;
 
-/// The bytes of a task or of an answer, shared without copying.
+/// Bytes of a task or of an answer, shared without copying.
 pub type Payload = std::sync::Arc<[u8]>;
--- a/crates/mastknot_core/src/message/peer_message.rs
+++ b/crates/mastknot_core/src/message/peer_message.rs
@@ -4,120 +4,121 @@
 use crate::roster::{Member, Roster};
 use crate::types::SubmissionKey;
 
-/// What an earlier holder knows of a key.
+/// Answer of an earlier holder to a question about a key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum KeyStatus {
-    /// It never accepted the key and, having adopted the asker's roster, never will.
+    /// The entry never accepted the key. It has adopted the asker's roster, so it never will.
     NeverAccepted,
-    /// It holds the key; the reply is its own.
+    /// The entry holds the key and sends its reply.
     Held(Reply),
-    /// It cannot say.
+    /// The entry cannot tell whether the key was accepted.
     Unknown,
 }
 
 /// One finished submission, handed over at a planned stop.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HandoverRecord {
-    /// The submission's key.
+    /// Key of the submission.
     pub key: SubmissionKey,
-    /// The digest of its content.
+    /// Digest of its content.
     pub digest: Digest,
-    /// Its answer.
+    /// Answer to the submission.
     pub answer: SubmissionAnswer,
 }
 
-/// What entries send each other.
+/// Message between two entries.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerMessage {
-    /// The first message on a link, in both directions.
+    /// First message on a link, sent in both directions.
     Hello {
         /// The sender.
         member: Member,
-        /// The version of the roster it has adopted.
+        /// Version of the roster that the sender has adopted.
         roster_version: u64,
-        /// The highest configuration version in force on it.
+        /// Highest configuration version in force at the sender.
         config_version: u64,
     },
-    /// Ask for a confirmation that this roster version is still the receiver's.
+    /// Asks whether the receiver still has this roster version in force.
     Confirm {
-        /// Matches the answer to the question.
+        /// Number that matches the confirmation to the request.
         nonce: u64,
-        /// The version asked about.
+        /// Roster version to confirm.
         version: u64,
     },
-    /// The sender has adopted `version`, has fresh authority and proposes no other.
+    /// Confirms that the sender has adopted `version`, has fresh authority and proposes no other
+    /// version.
     Confirmed {
-        /// The nonce of the question.
+        /// Nonce of the request.
         nonce: u64,
         /// The confirmed version.
         version: u64,
     },
-    /// A newer roster, learned from the store.
+    /// A newer roster, read from the store.
     NewRoster(Roster),
-    /// The sender has adopted a roster version.
+    /// Reports that the sender has adopted a roster version.
     Adopted {
-        /// The version.
+        /// The adopted version.
         version: u64,
     },
-    /// A newcomer asks to be written into the roster.
+    /// Asks for the sender, a new entry, to be written into the roster.
     Join(Member),
-    /// A submission for the holder of its key.
+    /// Submission for the holder of its key.
     Forward {
-        /// Matches the reply to the request.
+        /// Number that matches the reply to the request.
         request: u64,
         /// Whether the caller waits for the final answer.
         wait: bool,
         /// The submission.
         submission: Submission,
     },
-    /// A question for the answer to a key.
+    /// Asks for the answer to a key.
     Fetch {
-        /// Matches the reply to the request.
+        /// Number that matches the reply to the request.
         request: u64,
         /// Whether the caller waits for the final answer.
         wait: bool,
-        /// The key.
+        /// Key of the submission.
         key: SubmissionKey,
     },
-    /// The reply to [`PeerMessage::Forward`] or [`PeerMessage::Fetch`].
+    /// Reply to [`PeerMessage::Forward`] or [`PeerMessage::Fetch`].
     Replied {
-        /// The request.
+        /// Number of the request.
         request: u64,
         /// The reply.
         reply: Reply,
     },
-    /// A new holder asks an earlier one about a key.
+    /// Question of a new holder to an earlier one about a key.
     AskKey {
-        /// Matches the answer to the question.
+        /// Number that matches the answer to the question.
         request: u64,
-        /// The asker's roster version.
+        /// Roster version of the asker.
         version: u64,
-        /// The key.
+        /// Key of the submission.
         key: SubmissionKey,
-        /// The digest of what was resubmitted.
+        /// Digest of the resubmitted content.
         digest: Digest,
         /// Whether the caller waits for the final answer.
         wait: bool,
     },
-    /// The answer to [`PeerMessage::AskKey`].
+    /// Answer to [`PeerMessage::AskKey`].
     KeyKnown {
-        /// The question.
+        /// Number of the question.
         request: u64,
-        /// What is known.
+        /// What the earlier holder knows of the key.
         status: KeyStatus,
     },
-    /// Finished submissions of an entry that stops.
+    /// Finished submissions of an entry that is stopping.
     Handover {
-        /// The records.
+        /// The submissions with their answers.
         records: Vec<HandoverRecord>,
-        /// Whether these are the last ones.
+        /// Whether these are the last records.
         is_complete: bool,
     },
-    /// The sender has tasks waiting and too few credits.
+    /// Reports that the sender has waiting tasks and too few credits.
     WantCredits {
-        /// How many it can use at once, and for what.
+        /// Number of credits that the sender can use now, and the urgency of its work.
         demand: Demand,
-        /// The tasks that it runs.
+        /// Number of tasks that the sender is running.
         running: u32,
     },
     /// Idle credits that the sender gives up to the receiver.
@@ -127,18 +128,18 @@
     },
     /// Configuration that the sender has in force.
     Config(ConfigDelta),
-    /// The sender's configuration version and its nodes' (for the status "in force").
+    /// Configuration versions of the sender and its sides, for the status "in force".
     ConfigInForce {
-        /// The sender's version.
+        /// Version in force at the sender.
         version: u64,
-        /// How many of the sides that count at this entry are at least at this version.
+        /// Number of sides counted at this entry that have at least this version.
         sides_at: u32,
-        /// How many sides count at this entry.
+        /// Number of sides counted at this entry.
         sides: u32,
     },
-    /// The starts that are running for each team at the sender.
+    /// Number of running tasks per team at the sender.
     TeamUse {
-        /// Team and running tasks.
+        /// Teams with their running tasks.
         running: Vec<(crate::types::NodeName, u32)>,
     },
 }
--- a/crates/mastknot_core/src/message/side_message.rs
+++ b/crates/mastknot_core/src/message/side_message.rs
@@ -3,36 +3,37 @@
 use super::{Credit, CreditSeq, Digest, TaskOutcome};
 use crate::types::{Hall, Incarnation, NodeName, SubmissionKey, TaskId};
 
-/// What a side says of itself when it joins an entry.
+/// Description that a side sends when it connects to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SideHello {
-    /// The side's name.
+    /// Name of the side.
     pub side: NodeName,
-    /// The run of the side.
+    /// Incarnation of the side.
     pub incarnation: Incarnation,
-    /// The hall it stands in.
+    /// Hall of the side.
     pub hall: Hall,
-    /// How many tasks its target runs at once.
+    /// Number of tasks that the target runs at the same time.
     pub slots: u16,
-    /// Accelerators of its worker.
+    /// Number of accelerators of the worker.
     pub accelerators: u16,
-    /// Memory of its worker in MiB.
+    /// Memory of the worker, in MiB.
     pub memory_mib: u32,
-    /// The services its target runs; none listed means all.
+    /// Services that the target runs; an empty list means all services.
     pub services: Vec<NodeName>,
-    /// The highest configuration version in force on it.
+    /// Highest configuration version in force at the side.
     pub config_version: u64,
 }
 
-/// Why a side did not run a task. Every reason here is certain: nothing started.
+/// Reason why a side did not run a task. With each of these reasons it is certain that nothing
+/// started.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, serde::Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
-    /// The credit was granted by an earlier run of the side.
+    /// The credit was granted by an earlier incarnation of the side.
     OldIncarnation,
-    /// The credit has expired, was returned or was spent before.
+    /// The credit has expired, was returned or was already spent.
     StaleCredit,
     /// The side is leaving.
     Draining,
@@ -40,79 +41,79 @@
     UnknownService,
     /// The deadline had passed when the start arrived.
     DeadlinePassed,
-    /// The target refused the connection, so it saw nothing.
+    /// The target refused the connection, so it did not receive the task.
     TargetRefused,
     /// The target answered that it did not run the task.
     TargetDeclined,
-    /// The task was seen before; it is not started again.
+    /// The side has seen the task before and does not start it again.
     Duplicate,
-    /// The side's hall is drained. It may come back, unlike a side that is leaving.
+    /// The side's hall is drained. Unlike a side that is leaving, the side may return to service.
     HallDrained,
 }
 
-/// One task that a side remembers, for rebuilding an answer.
+/// One task that a side remembers, used to rebuild the answer of its submission.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RememberedTask {
     /// The task.
     pub task: TaskId,
-    /// How many tasks its submission has.
+    /// Number of tasks in the submission.
     pub count: u16,
-    /// The digest of its submission's content.
+    /// Digest of the submission's content.
     pub digest: Digest,
-    /// Its outcome, none while it runs.
+    /// Outcome of the task; `None` while it runs.
     pub outcome: Option<TaskOutcome>,
 }
 
-/// What a side sends to an entry.
+/// Message from a side to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum SideMessage {
-    /// The first message on a link.
+    /// First message on a link.
     Hello(SideHello),
-    /// New credits.
+    /// Grants new credits.
     Grant {
         /// The credits.
         credits: Vec<Credit>,
-        /// Slots that are neither taken nor granted.
+        /// Number of slots that are neither in use nor granted.
         idle_slots: u16,
     },
-    /// A task has ended; the next credit rides along.
+    /// Reports that a task has ended, and may grant the next credit in the same message.
     Answer {
         /// The task.
         task: TaskId,
-        /// How it ended.
+        /// Outcome of the task.
         outcome: TaskOutcome,
-        /// The time it held the slot, in microseconds.
+        /// Time for which the task occupied the slot, in microseconds.
         run_micros: u32,
-        /// The next credit for this entry, if the slot stays with it.
+        /// Next credit for this entry, if the slot stays with it.
         next: Option<Credit>,
-        /// Slots that are neither taken nor granted.
+        /// Number of slots that are neither in use nor granted.
         idle_slots: u16,
     },
-    /// A task was not started.
+    /// Reports that a task was not started.
     NotRun {
         /// The task.
         task: TaskId,
-        /// The credit it came with.
+        /// Credit with which the start was ordered.
         credit: CreditSeq,
-        /// Why.
+        /// Reason why the task was not started.
         reason: NotRunReason,
-        /// The next credit, if a slot is free.
+        /// Next credit for this entry, if a slot is free.
         next: Option<Credit>,
     },
-    /// The highest configuration version in force on the side.
+    /// Reports the highest configuration version in force at the side.
     ConfigInForce {
         /// The version.
         version: u64,
     },
-    /// The side grants nothing any more; what runs will end.
+    /// Reports that the side grants no more credits and lets its running tasks end.
     Leaving,
-    /// What the side remembers of a submission.
+    /// Tasks of a submission that the side remembers.
     Remembered {
-        /// The submission asked about.
+        /// Key of the submission that was asked about.
         key: SubmissionKey,
-        /// The tasks of it that were started here.
+        /// Tasks of the submission that were started on this side.
         tasks: Vec<RememberedTask>,
     },
-    /// The side is alive; sent when nothing else was for a while.
+    /// Shows that the side is alive; sent when the side has sent no other message for some time.
     Heartbeat,
 }
--- a/crates/mastknot_core/src/message/submission.rs
+++ b/crates/mastknot_core/src/message/submission.rs
@@ -4,16 +4,16 @@
 use super::Payload;
 use crate::types::{NodeName, SubmissionKey};
 
-/// The digest of a submission's content, which tells a resubmission from a reused key.
+/// Digest of a submission's content, which distinguishes a resubmission from a reused key.
 pub type Digest = u128;
 
-/// What a caller submitted.
+/// Kind of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SubmissionKind {
     /// A job of parallel tasks.
     Job,
-    /// One service request.
+    /// A single service request.
     Request,
 }
 
@@ -22,22 +22,22 @@
 pub struct Submission {
     /// The caller's key, the same on every resubmission.
     pub key: SubmissionKey,
-    /// Job or request.
+    /// Whether this is a job or a request.
     pub kind: SubmissionKind,
-    /// The team it is counted to.
+    /// Team whose quota and share the submission counts against.
     pub team: NodeName,
-    /// The team's customer it is for.
+    /// Customer of the team for whom the work is done.
     pub customer: NodeName,
-    /// The service that runs it.
+    /// Service that runs the work.
     pub service: NodeName,
-    /// What is left until the deadline, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_ms: u32,
-    /// The tasks' bytes, in order.
+    /// Payloads of the tasks, in order.
     pub tasks: Vec<Payload>,
 }
 
 impl Submission {
-    /// The digest of everything but the key and the deadline.
+    /// Returns the digest of everything except the key and the deadline.
     pub fn digest(&self) -> Digest {
         let mut hasher = Xxh3::new();
         hasher.update(&[self.kind as u8]);
--- a/crates/mastknot_core/src/types/hall.rs
+++ b/crates/mastknot_core/src/types/hall.rs
@@ -4,7 +4,7 @@
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// A hall: one failure zone of a region.
+/// Name of a hall, which is one failure zone of a region.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
@@ -12,7 +12,7 @@
 pub struct Hall(Arc<str>);
 
 impl Hall {
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/mastknot_core/src/types/incarnation.rs
+++ b/crates/mastknot_core/src/types/incarnation.rs
@@ -1,9 +1,9 @@
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// One run of a process: a restart has a higher incarnation than the run before.
+/// Number of one run of a process; each restart has a higher one.
 ///
-/// The shell takes it from the wall clock at the start (milliseconds).
+/// The process takes it from the wall clock at its start, in milliseconds.
 #[derive(
     Clone,
     Copy,
--- a/crates/mastknot_core/src/types/mod.rs
+++ b/crates/mastknot_core/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Small value types that every core shares.
+//! Small value types that all cores share.
 
 mod hall;
 mod incarnation;
@@ -18,11 +18,11 @@
 pub use task_id::TaskId;
 pub use wall_time::WallTime;
 
-/// Both clocks as read by the shell that calls a core.
+/// Readings of both clocks, taken by the process that calls a core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
-    /// The process's own monotonic clock; every lease and expiry uses it.
+    /// Reading of the process's own monotonic clock; all leases and expiry times use it.
     pub monotonic: Moment,
-    /// The wall clock; only the age of submission keys uses it.
+    /// Reading of the wall clock; only the age of submission keys uses it.
     pub wall: WallTime,
 }
--- a/crates/mastknot_core/src/types/moment.rs
+++ b/crates/mastknot_core/src/types/moment.rs
@@ -1,29 +1,29 @@
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A reading of one process's monotonic clock, in microseconds since its start.
+/// Reading of a process's monotonic clock, in microseconds since its start.
 ///
-/// > **Caution:** two processes' moments cannot be compared.
+/// > **Caution:** moments of two processes cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(u64);
 
 impl Moment {
-    /// A moment `micros` microseconds after the start of the clock.
+    /// Returns the moment `micros` microseconds after the start of the clock.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A moment `millis` milliseconds after the start of the clock.
+    /// Returns the moment `millis` milliseconds after the start of the clock.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the start of the clock.
+    /// Returns the microseconds since the start of the clock.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time that passed since `earlier`, zero if `earlier` is later.
+    /// Returns the time that has passed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/mastknot_core/src/types/node_name.rs
+++ b/crates/mastknot_core/src/types/node_name.rs
@@ -4,7 +4,7 @@
 use bincode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// The name of one process of the system, unique among its kind.
+/// Name of a process of the system, unique among processes of its kind.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
@@ -12,7 +12,7 @@
 pub struct NodeName(Arc<str>);
 
 impl NodeName {
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/mastknot_core/src/types/submission_key.rs
+++ b/crates/mastknot_core/src/types/submission_key.rs
@@ -7,7 +7,7 @@
 
 use super::WallTime;
 
-/// A caller's key for one submission: a UUIDv7, so that it carries the time it was made.
+/// Key that a caller gives one submission: a UUIDv7, which includes the time of its creation.
 ///
 /// A resubmission uses the same key.
 ///
@@ -22,28 +22,28 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct SubmissionKey(u128);
 
-/// Why a text is no submission key.
+/// Reason why a text is not a submission key.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum KeyError {
-    /// The text is no UUID.
-    #[snafu(display("the key {text:?} is no UUID"))]
+    /// The text is not a UUID.
+    #[snafu(display("the key {text:?} is not a UUID"))]
     NotUuid {
-        /// The text that was given.
+        /// Text that was given.
         text: String,
-        /// What the UUID parser said.
+        /// Error of the UUID parser.
         source: uuid::Error,
     },
     /// The UUID is not of version 7, so its age is unknown.
-    #[snafu(display("the key {text:?} is no UUIDv7, so it does not say when it was made"))]
+    #[snafu(display("the key {text:?} is not a UUIDv7, so its creation time is unknown"))]
     NoTime {
-        /// The text that was given.
+        /// Text that was given.
         text: String,
     },
 }
 
 impl SubmissionKey {
-    /// A key made at `wall` with `random` as its random part.
+    /// Returns a key created at `wall` with `random` as its random part.
     pub fn new(wall: WallTime, random: u128) -> Self {
         let bytes = random.to_be_bytes();
         let mut tail = [0_u8; 10];
@@ -52,12 +52,12 @@
         Self(uuid.as_u128())
     }
 
-    /// When the caller made the key, by the caller's clock.
+    /// Returns the time at which the caller created the key, by the caller's clock.
     pub fn made_at(self) -> WallTime {
         WallTime::from_millis((self.0 >> 80) as u64)
     }
 
-    /// The key as bytes, for hashing.
+    /// Returns the key as bytes, for hashing.
     pub fn to_bytes(self) -> [u8; 16] {
         self.0.to_be_bytes()
     }
--- a/crates/mastknot_core/src/types/task_id.rs
+++ b/crates/mastknot_core/src/types/task_id.rs
@@ -2,11 +2,11 @@
 
 use super::SubmissionKey;
 
-/// One task of one submission.
+/// Identifier of one task of one submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TaskId {
-    /// The submission's key.
+    /// Key of the submission.
     pub key: SubmissionKey,
-    /// The task's place in its job, from zero.
+    /// Index of the task in its submission, from zero.
     pub index: u16,
 }
