--- a/crates/mastknot_core/src/lib.rs
+++ b/crates/mastknot_core/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decision cores of mastknot.
 //!
-//! No core does input or output and none reads a clock. Each takes an event with the time at
-//! which it is handled and returns effects: `step(now, event) -> effects`. The processes are thin
-//! shells around them, and the tests, the bench and embedders run the same code.
+//! Cores perform no input or output and read no clock. Each takes an event with the time at which
+//! it is handled and returns effects: `step(now, event) -> effects`. The processes are thin shells
+//! around the cores, and the tests, the benchmarks and embedding programs run the same code.
 //!
 //! - [`side`]: a target's slots, handed out as single-use credits
 //! - [`dispatch`]: queues, fairness, placement and early refusal at an entry
@@ -16,8 +16,8 @@
 //! - [`job`]: jobs, and the messages between entries and sides
 //! - [`scheduler`]: an entry, which owns jobs until they are answered
 //! - [`agent`]: a side, which runs tasks on its target
-//! - [`relay`]: passing on the configuration in parts
-//! - [`profile`]: keeping what was learned beyond the life of the processes
+//! - [`relay`]: transfer of the configuration between processes in parts
+//! - [`profile`]: storage of learned values beyond the lifetime of the processes
 //!
 //! This crate has no feature flags.
 
--- a/crates/mastknot_core/src/profile/mod.rs
+++ b/crates/mastknot_core/src/profile/mod.rs
@@ -1,9 +1,9 @@
-//! Keeping what was learned beyond the life of the processes: when it is written, by whom, and what is made of the store's
-//! answers.
+//! Storage of learned values beyond the lifetime of the processes: when they are written and by
+//! which entry, and how the store's answers are handled.
 //!
-//! - [`profile_news`]: whether a change is worth a write
-//! - [`ProfileTurn`]: who writes, and when
-//! - [`ProfileLedger`]: `next(now, offer) -> call`, and what became of the call
+//! - [`profile_update`]: whether a change is worth a write
+//! - [`ProfileWriteSchedule`]: which entry writes, and when
+//! - [`ProfileLedger`]: `next(now, offer) -> call`, and the handling of the call's result
 
 mod profile_call;
 mod profile_ledger;
--- a/crates/mastknot_core/src/profile/profile_call.rs
+++ b/crates/mastknot_core/src/profile/profile_call.rs
@@ -1,29 +1,29 @@
-/// A call to the store that a [`ProfileLedger`](super::ProfileLedger) wants made.
+/// Call to the store that a [`ProfileLedger`](super::ProfileLedger) requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProfileCall {
     /// Read the document.
     Read,
     /// Write the document if its key has the expected revision.
     Write {
-        /// The document.
+        /// Bytes of the document.
         value: Vec<u8>,
-        /// The revision; 0: it is not there.
+        /// Expected revision of the key; 0 if the key must not exist.
         expected: u64,
     },
 }
 
-/// What became of a write.
+/// Result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProfileWrite {
-    /// It is done.
+    /// The write took effect.
     Done {
-        /// The key's revision now.
+        /// Revision of the key after the write.
         revision: u64,
     },
-    /// The key has another revision than the expected one; nothing was done.
+    /// The key has another revision than the expected one; nothing was written.
     Changed,
-    /// The store turned it away; nothing was done.
+    /// The store refused the write; nothing was written.
     TurnedAway,
-    /// No answer: it may have been done, or may be done later.
+    /// No answer was received: the write may have taken effect, or may still do so.
     Unanswered,
 }
--- a/crates/mastknot_core/src/profile/profile_ledger.rs
+++ b/crates/mastknot_core/src/profile/profile_ledger.rs
@@ -5,26 +5,29 @@
 use crate::job::{LearnedProfile, ProfileError};
 use crate::types::Moment;
 
-/// After a call without success.
+/// Pause after the first failed call.
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// Pauses double up to this one: a store that is down for long costs a process a call a minute.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
+/// Maximum pause. Pauses double up to this time, so that a store that is down for long costs each
+/// process one call per minute.
+const MAX_PAUSE: Duration = Duration::from_secs(60);
 
-/// What a process knows of the document at the store, and the call that it makes next.
+/// A process's knowledge of the document in the store, and the next call to make.
 ///
-/// One call is under way at a time. Nothing is written over what was not read: each write names the revision that was seen.
+/// One call is in progress at a time. Each write names the revision that was last read, so that no
+/// document is overwritten unread.
 #[derive(Clone, Debug)]
 pub struct ProfileLedger {
-    /// The document's revision, 0 if there is none; none: it has to be read.
+    /// Revision of the document, 0 if it does not exist; `None` if it has to be read.
     revision: Option<u64>,
     known: Option<Arc<LearnedProfile>>,
-    /// Whether it was read before: what a later read shows has been written meanwhile.
+    /// Whether the document was read before. A change that a later read shows was written in the
+    /// meantime.
     has_read: bool,
-    /// A write whose outcome is not known.
+    /// Bytes of a write whose outcome is not known.
     unanswered: Option<Vec<u8>>,
-    /// What is being written.
+    /// Bytes and profile of the write in progress.
     writing: Option<(Vec<u8>, Arc<LearnedProfile>)>,
-    turn: ProfileWriteSchedule,
+    schedule: ProfileWriteSchedule,
     pause: Duration,
     paused_until: Option<Moment>,
 }
@@ -37,7 +40,7 @@
             has_read: false,
             unanswered: None,
             writing: None,
-            turn: ProfileWriteSchedule::default(),
+            schedule: ProfileWriteSchedule::default(),
             pause: FIRST_PAUSE,
             paused_until: None,
         }
@@ -45,17 +48,17 @@
 }
 
 impl ProfileLedger {
-    /// The beliefs that were last read or written.
+    /// Returns the profile that was last read or written.
     pub fn known(&self) -> Option<&Arc<LearnedProfile>> {
         self.known.as_ref()
     }
 
-    /// Whether the document has to be read before anything is written.
+    /// Returns whether the document has to be read before anything is written.
     pub fn must_read(&self) -> bool {
         self.revision.is_none()
     }
 
-    /// The next call, if there is one; `offer` is what the entry would write.
+    /// Returns the next call, if there is one. `offer` is the profile that the entry would write.
     pub fn next(
         &mut self,
         now: Moment,
@@ -67,10 +70,10 @@
         let Some(expected) = self.revision else {
             return Ok(Some(ProfileCall::Read));
         };
-        let news = offer.as_ref().map(|offer| offer.update);
-        let place = offer.as_ref().map_or(0, |offer| offer.writer_rank);
+        let update = offer.as_ref().map(|offer| offer.update);
+        let writer_rank = offer.as_ref().map_or(0, |offer| offer.writer_rank);
         let age = offer.as_ref().and_then(|offer| self.known_age(offer));
-        if !self.turn.is_due(now, news, place, age) {
+        if !self.schedule.is_due(now, update, writer_rank, age) {
             return Ok(None);
         }
         let Some(offer) = offer else {
@@ -79,7 +82,7 @@
         let value = match offer.profile.encode() {
             Ok(value) => value,
             Err(error) => {
-                self.fail(now);
+                self.start_pause(now);
                 return Err(error);
             }
         };
@@ -87,16 +90,17 @@
         Ok(Some(ProfileCall::Write { value, expected }))
     }
 
-    /// How old the known document is; none for one of a clock that is ahead.
+    /// Returns the age of the known document; `None` if its writer's clock is ahead.
     fn known_age(&self, offer: &ProfileOffer) -> Option<Duration> {
         let known = self.known.as_ref()?;
         let age = offer.profile.written_ms.checked_sub(known.written_ms);
         age.map(Duration::from_millis)
     }
 
-    /// The document was read: its revision and value, or that there is none.
+    /// Handles the result of a read: the revision and value of the document, or `None` if it does
+    /// not exist.
     pub fn record_read(&mut self, now: Moment, item: Option<(u64, &[u8])>) -> ProfileRead {
-        self.succeed();
+        self.reset_pause();
         let unanswered = self.unanswered.take();
         let writing = self.writing.take();
         let is_first = !std::mem::replace(&mut self.has_read, true);
@@ -108,18 +112,18 @@
         self.revision = Some(revision);
         if unanswered.is_some_and(|sent| sent == value) {
             self.known = writing.map(|(_, profile)| profile).or(self.known.take());
-            self.turn.record_change(now);
+            self.schedule.record_change(now);
             return ProfileRead::Known;
         }
-        self.take(now, value, is_first)
+        self.decode_document(now, value, is_first)
     }
 
-    fn take(&mut self, now: Moment, value: &[u8], is_first: bool) -> ProfileRead {
+    fn decode_document(&mut self, now: Moment, value: &[u8], is_first: bool) -> ProfileRead {
         match LearnedProfile::decode(value) {
             Ok(profile) if self.known.as_deref() == Some(&profile) => ProfileRead::Known,
             Ok(profile) => {
                 if !is_first {
-                    self.turn.record_change(now);
+                    self.schedule.record_change(now);
                 }
                 let profile = Arc::new(profile);
                 self.known = Some(Arc::clone(&profile));
@@ -132,45 +136,46 @@
         }
     }
 
-    /// A read had no result.
+    /// Handles a read without a result.
     pub fn record_read_failure(&mut self, now: Moment) {
-        self.fail(now);
+        self.start_pause(now);
     }
 
-    /// What became of the write.
+    /// Handles the result of a write.
     pub fn record_write(&mut self, now: Moment, write: ProfileWrite) {
         match write {
             ProfileWrite::Done { revision } => {
-                self.succeed();
+                self.reset_pause();
                 self.revision = Some(revision);
                 self.known = self.writing.take().map(|(_, profile)| profile);
-                self.turn.record_change(now);
+                self.schedule.record_change(now);
             }
             ProfileWrite::Changed => {
-                self.succeed();
+                self.reset_pause();
                 self.writing = None;
                 self.revision = None;
             }
             ProfileWrite::TurnedAway => {
                 self.writing = None;
-                self.fail(now);
+                self.start_pause(now);
             }
             ProfileWrite::Unanswered => {
-                // It may have been done: the document says so.
+                // The write may have taken effect; the next read of the document shows whether it
+                // did.
                 self.unanswered = self.writing.as_ref().map(|(value, _)| value.clone());
                 self.revision = None;
-                self.fail(now);
+                self.start_pause(now);
             }
         }
     }
 
-    fn succeed(&mut self) {
+    fn reset_pause(&mut self) {
         self.pause = FIRST_PAUSE;
         self.paused_until = None;
     }
 
-    fn fail(&mut self, now: Moment) {
+    fn start_pause(&mut self, now: Moment) {
         self.paused_until = Some(now + self.pause);
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
     }
 }
--- a/crates/mastknot_core/src/profile/profile_offer.rs
+++ b/crates/mastknot_core/src/profile/profile_offer.rs
@@ -1,13 +1,14 @@
 use super::ProfileUpdate;
 use crate::job::LearnedProfile;
 
-/// What an entry would write, and why.
+/// Profile that an entry would write, and the reason for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProfileOffer {
-    /// What it believes now.
+    /// The entry's current learned values.
     pub profile: LearnedProfile,
-    /// What is new in it.
+    /// Kind of the change.
     pub update: ProfileUpdate,
-    /// The entry's place in the order in which entries write: 0 writes, others only if those before them do not.
+    /// Rank of the entry in the order in which entries write. The entry of rank 0 writes; the
+    /// others write only if those before them do not.
     pub writer_rank: usize,
 }
--- a/crates/mastknot_core/src/profile/profile_read.rs
+++ b/crates/mastknot_core/src/profile/profile_read.rs
@@ -2,15 +2,15 @@
 
 use crate::job::{LearnedProfile, ProfileError};
 
-/// What a read of the document showed.
+/// Result of a read of the document.
 #[derive(Debug)]
 pub enum ProfileRead {
-    /// Nobody has written it.
+    /// The document does not exist.
     Absent,
-    /// What was read before, or what this process has written itself.
+    /// The document holds what was read before, or what this process has written itself.
     Known,
-    /// Another process's beliefs.
+    /// The document holds new values of another process.
     Update(Arc<LearnedProfile>),
-    /// Something that can't be read; what is believed stays as it is.
+    /// The document cannot be decoded; the values in use stay as they are.
     NotTaken(ProfileError),
 }
--- a/crates/mastknot_core/src/relay/document_fetch.rs
+++ b/crates/mastknot_core/src/relay/document_fetch.rs
@@ -7,26 +7,27 @@
 use crate::job::{ConfigDocument, DocumentPart, DocumentRequest};
 use crate::types::Moment;
 
-/// Without a part for this long another link is asked. Longer than the fifth of a second for which a
-/// server sends 350 KB to another reader first at 25 Mbit/s; short against the two seconds in which a
-/// configuration has to be in force.
-const PART_LIMIT: Duration = Duration::from_millis(400);
-/// The longest document that is taken, in bytes: four times the platform's largest value.
-const LONGEST_DOCUMENT: u32 = 4 * 1_024 * 1_024;
+/// Time without the requested part after which another link is asked. It must be longer than the
+/// 0.2 s that a server needs to send 350 KB to another reader first at 25 Mbit/s, and short against
+/// the 2 s in which a configuration has to be in force.
+const PART_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum length of a document, in bytes: four times the platform's largest value.
+const MAX_DOCUMENT_BYTES: u32 = 4 * 1_024 * 1_024;
 
-/// Gets the newest configuration that others have, from one of them at a time.
+/// Fetches the newest configuration that other processes have, from one of them at a time.
 ///
-/// `S` names a link.
+/// `S` identifies a link.
 #[derive(Clone, Debug)]
 pub struct DocumentFetch<S> {
-    /// What each link's other end has said that it has.
+    /// Version that the other end of each link has reported.
     offers: IndexMap<S, u64>,
-    /// Since when something newer has been known to exist.
+    /// Time since which a newer version has been known to exist.
     behind_since: Option<Moment>,
     transfer: Option<Transfer<S>>,
-    /// The newest version that was received whole.
+    /// Newest version that was received completely.
     received: u64,
-    /// Which of the links that offer a version is asked first: each process begins with another.
+    /// Counter that selects the first link to ask among those that offer a version. Its start
+    /// differs between processes, so that they ask different links.
     first_choice: usize,
 }
 
@@ -35,12 +36,13 @@
     source: S,
     version: u64,
     bytes: Vec<u8>,
-    /// When the part that is under way was asked for.
+    /// Time at which the outstanding part was requested.
     asked: Option<Moment>,
 }
 
 impl<S: Copy + Eq + Hash> DocumentFetch<S> {
-    /// Nothing is known yet; `first_choice` is any number that differs between processes.
+    /// Returns a fetch without any offers. `first_choice` is any number that differs between
+    /// processes.
     pub fn new(first_choice: usize) -> Self {
         Self {
             offers: IndexMap::new(),
@@ -51,12 +53,12 @@
         }
     }
 
-    /// The other end of a link has a version, 0 for none.
+    /// Records the version that the other end of a link has; 0 for none.
     pub fn record_offer(&mut self, source: S, version: u64) {
         self.offers.insert(source, version);
     }
 
-    /// A link is gone.
+    /// Removes a link that is gone.
     pub fn forget(&mut self, source: S) {
         self.offers.swap_remove(&source);
         if let Some(transfer) = &mut self.transfer
@@ -66,13 +68,14 @@
         }
     }
 
-    /// The request to send now, if any. `known` is the version in force here; others are asked only
-    /// `patience` after something newer was heard of, since the store may have it here sooner.
+    /// Returns the request to send now, if any. `known` is the version in force at this process.
+    /// Other processes are asked only after a newer version has been known for `store_timeout`,
+    /// since the store may deliver it sooner.
     pub fn poll(
         &mut self,
         now: Moment,
         known: u64,
-        patience: Duration,
+        store_timeout: Duration,
         link: LinkRate,
     ) -> Option<(S, DocumentRequest)> {
         let known = known.max(self.received);
@@ -82,7 +85,7 @@
             return None;
         }
         let since = *self.behind_since.get_or_insert(now);
-        if now < since + patience {
+        if now < since + store_timeout {
             return None;
         }
         if self.is_waiting(now) {
@@ -98,14 +101,14 @@
         Some((transfer.source, request))
     }
 
-    /// A part has come; returns the document when it is whole.
+    /// Handles a part and returns the document once it is complete.
     pub fn receive_part(&mut self, source: S, part: DocumentPart) -> Option<ConfigDocument> {
         let transfer = self.transfer.as_mut()?;
-        if transfer.source != source || part.total > LONGEST_DOCUMENT {
+        if transfer.source != source || part.total > MAX_DOCUMENT_BYTES {
             return None;
         }
         if part.version != transfer.version && part.offset == 0 {
-            // The other end has gone on to this version.
+            // The other end has moved on to this version.
             transfer.version = part.version;
             transfer.bytes.clear();
         }
@@ -128,11 +131,12 @@
         })
     }
 
-    /// When time alone changes something.
-    pub fn next_tick(&self, patience: Duration) -> Option<Moment> {
+    /// Returns the time at which [`DocumentFetch::poll`] may have a request without a further
+    /// event.
+    pub fn next_tick(&self, store_timeout: Duration) -> Option<Moment> {
         let since = self.behind_since?;
         let asked = self.transfer.as_ref().and_then(|transfer| transfer.asked);
-        Some(asked.map_or(since + patience, |asked| asked + PART_LIMIT))
+        Some(asked.map_or(since + store_timeout, |asked| asked + PART_TIMEOUT))
     }
 
     fn newest_offer(&self) -> u64 {
@@ -142,10 +146,11 @@
     fn is_waiting(&self, now: Moment) -> bool {
         let transfer = self.transfer.as_ref();
         let asked = transfer.and_then(|transfer| transfer.asked);
-        asked.is_some_and(|asked| now < asked + PART_LIMIT)
+        asked.is_some_and(|asked| now < asked + PART_TIMEOUT)
     }
 
-    /// The transfer that goes on: with its source, or with another one where that is gone or silent.
+    /// Returns the transfer to continue: with its source, or with another one if that is gone or
+    /// silent.
     fn next_transfer(&mut self, known: u64) -> Option<&mut Transfer<S>> {
         let goes_on = self.transfer.as_ref().is_some_and(|transfer| {
             transfer.asked.is_none() && self.offers.contains_key(&transfer.source)
@@ -165,7 +170,8 @@
         self.transfer.as_mut()
     }
 
-    /// One of the links that offer the newest version, not the silent one if there is another.
+    /// Returns one of the links that offer the newest version, avoiding the silent one if there is
+    /// another.
     fn choose(&mut self, known: u64, silent: Option<S>) -> Option<(S, u64)> {
         let newest = self.newest_offer();
         if newest <= known {
@@ -180,8 +186,8 @@
             .filter(|source| Some(*source) != silent)
             .collect();
         let candidates = if others.is_empty() { offering } else { others };
-        let place = self.first_choice % candidates.len();
+        let index = self.first_choice % candidates.len();
         self.first_choice = self.first_choice.wrapping_add(1);
-        Some((candidates[place], newest))
+        Some((candidates[index], newest))
     }
 }
--- a/crates/mastknot_core/src/relay/mod.rs
+++ b/crates/mastknot_core/src/relay/mod.rs
@@ -1,13 +1,15 @@
-//! How processes pass on what is large and the same for all: the configuration.
+//! Transfer of the configuration between processes: the document is large and the same for all of
+//! them.
 //!
-//! Links announce versions only. Who lacks a version asks one other process for it, in parts that are small
-//! against what its link carries, so that heartbeats never wait behind a document. A document that was sent
-//! unasked over each link filled thin links for longer than a lease: 62 sides, 350 KB and 25 Mbit/s made seven
-//! seconds (`configuration_growth.rs`).
+//! Links announce versions only. A process that lacks a version requests it from one other process,
+//! in parts that are small relative to the bandwidth of its link, so that heartbeats never wait
+//! behind a document. Sending the document unrequested over each link fills bandwidth-limited links
+//! for longer than a lease: 62 sides, 350 KB and 25 Mbit/s take seven seconds
+//! (`configuration_growth.rs`).
 //!
-//! - [`DocumentFetch`]: what others have, and the transfer that is under way
+//! - [`DocumentFetch`]: the versions that others offer, and the transfer in progress
 //! - [`DocumentServer`]: the requests of others, answered at a bounded rate
-//! - [`LinkRate`]: what a link carries, and so how large a part may be
+//! - [`LinkRate`]: the bandwidth of a link, and the resulting size of a part
 
 mod document_fetch;
 mod document_server;
--- a/crates/mastknot_core/src/roster/accepting.rs
+++ b/crates/mastknot_core/src/roster/accepting.rs
@@ -1,21 +1,21 @@
-//! Whether a key may be accepted here, and which earlier holders must be asked before.
+//! Decides whether this entry may accept a key, and which earlier holders must be asked before.
 
 use super::past_roster::PastRoster;
 use super::{Acceptance, MemberId, Membership};
 use crate::types::{Now, SubmissionKey, WallTime};
 
-/// What an earlier holder means for a key that it may have accepted.
+/// Status of an earlier holder with respect to a key that it may have accepted.
 enum EarlierHolder {
-    /// It can't have accepted the key, or has told all that it knows.
+    /// The holder cannot have accepted the key, or has handed over everything that it knows.
     Clear,
-    /// It lives and can say what it knows.
+    /// The holder is alive and can be asked.
     CanBeAsked,
-    /// It may have accepted the key and can't be asked.
+    /// The holder may have accepted the key and cannot be asked.
     OutOfReach,
 }
 
 impl Membership {
-    /// Whether a key that the ledger does not know may be accepted here now.
+    /// Returns whether this entry may now accept a key that its ledger does not know.
     pub fn acceptance(&self, now: Now, key: SubmissionKey) -> Acceptance {
         let Some(roster) = &self.roster else {
             return Acceptance::NoAuthority;
@@ -61,7 +61,8 @@
         }
     }
 
-    /// The holder of a key under an earlier version, unless it was this run.
+    /// Returns the holder of a key under an earlier version, unless it was this incarnation of this
+    /// entry.
     fn other_holder<'a>(&self, past: &'a PastRoster, key: SubmissionKey) -> Option<&'a MemberId> {
         let holder = past.members.holder(key);
         holder.filter(|holder| **holder != self.me.id)
@@ -74,7 +75,8 @@
         holder: &MemberId,
         stopped: WallTime,
     ) -> EarlierHolder {
-        // The caller's clock and this one may each be off; two bounds cover both.
+        // The caller's clock and this entry's clock may each be off by the maximum skew; twice the
+        // skew covers both.
         let cannot_know = key.made_at() > stopped.plus(2 * self.settings.max_clock_skew);
         if cannot_know {
             return EarlierHolder::Clear;
@@ -85,7 +87,8 @@
         if view.has_handed_over && view.incarnation == holder.incarnation {
             return EarlierHolder::Clear;
         }
-        // One that is silent would keep the caller waiting; what it ran can be rebuilt.
+        // Asking a silent holder would only keep the caller waiting; the answers of its tasks can
+        // be rebuilt.
         let is_silent = self.is_silent(now.monotonic, holder);
         if view.is_connected && !is_silent && !view.is_dead(holder.incarnation) {
             EarlierHolder::CanBeAsked
@@ -94,13 +97,14 @@
         }
     }
 
-    /// Whether this entry holds a key under the adopted version.
+    /// Returns whether this entry holds a key under the adopted version.
     pub fn holds(&self, key: SubmissionKey) -> bool {
         let holder = self.roster.as_ref().and_then(|roster| roster.holder(key));
         holder.is_some_and(|holder| holder.id == self.me.id)
     }
 
-    /// Whether this entry can vouch that it never accepts a key under a version below `version`.
+    /// Returns whether this entry can guarantee that it never accepts a key under a version below
+    /// `version`.
     pub fn has_adopted(&self, version: u64) -> bool {
         self.version() >= version
     }
--- a/crates/mastknot_core/src/roster/adopting.rs
+++ b/crates/mastknot_core/src/roster/adopting.rs
@@ -1,4 +1,4 @@
-//! Adopting a new version, and what is remembered of the earlier ones.
+//! Adopts new roster versions and keeps what is known of the earlier ones.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::types::{Now, WallTime};
 
 impl Membership {
-    /// A peer told of a roster.
+    /// Handles a roster that a peer has sent.
     pub fn roster_received(&mut self, now: Now, roster: Roster, out: &mut Vec<MembershipEffect>) {
         if roster.version > self.version() {
             // The store's revision of this version is not known yet.
@@ -27,7 +27,7 @@
             held.is_none_or(|held| held.id != member.id)
         });
         self.roster = Some(roster.clone());
-        self.note_stopped(now);
+        self.record_stopped(now);
         let version = roster.version;
         out.push(MembershipEffect::ToPeers(PeerMessage::NewRoster(
             roster.clone(),
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Notes which earlier holders are known to accept nothing any more.
-    pub(super) fn note_stopped(&mut self, now: Now) {
+    /// Records which earlier holders are known to accept no more keys.
+    pub(super) fn record_stopped(&mut self, now: Now) {
         let mut past = std::mem::take(&mut self.past);
         for version in &mut past {
             for id in self.newly_stopped(now, version) {
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    /// Whether a member accepts nothing any more under an earlier version.
+    /// Returns whether a member can accept no more keys under an earlier version.
     fn has_moved_on(&self, id: &MemberId, version: u64) -> bool {
         if *id == self.me.id {
             return self.version() > version;
@@ -94,7 +94,8 @@
         });
     }
 
-    /// An earlier version that was replaced before this time matters to no key any more.
+    /// Returns the time before which a replaced version can be forgotten: no key that is still
+    /// accepted was held under it.
     pub(super) fn oldest_kept(&self, now: Now) -> WallTime {
         let kept = self.settings.max_key_age + 3 * self.settings.max_clock_skew;
         now.wall.minus(kept)
--- a/crates/mastknot_core/src/roster/member.rs
+++ b/crates/mastknot_core/src/roster/member.rs
@@ -3,24 +3,24 @@
 
 use crate::types::{Hall, Incarnation, NodeName};
 
-/// One run of one entry.
+/// Identifier of one incarnation of an entry.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
 pub struct MemberId {
-    /// The entry's name.
+    /// Name of the entry.
     pub name: NodeName,
-    /// The run.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
 }
 
-/// A member of the roster: one run of an entry with where it is reached.
+/// A member of the roster: one incarnation of an entry and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Member {
-    /// Who it is.
+    /// Identifier of the member.
     pub id: MemberId,
-    /// The address for other processes of the system.
+    /// Address at which other processes of the system reach the entry.
     pub address: String,
-    /// Its hall.
+    /// Hall of the entry.
     pub hall: Hall,
 }
--- a/crates/mastknot_core/src/roster/membership.rs
+++ b/crates/mastknot_core/src/roster/membership.rs
@@ -7,9 +7,9 @@
 use super::{Member, MemberId, MembershipEffect, MembershipSettings, Roster};
 use crate::types::{Moment, NodeName, Now};
 
-/// One entry's part in the roster of entries.
+/// One entry's view of the roster of entries and its own part in it.
 ///
-/// It keeps the version it has adopted, its authority to accept new keys, and what it knows of
+/// It holds the adopted version, the entry's authority to accept new keys, and what is known of
 /// earlier holders. The rules, with the argument that no key is accepted by two entries, are in
 /// `docs/design/submissions.md`.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
 }
 
 impl Membership {
-    /// An entry that has not read the roster yet.
+    /// Returns the membership of an entry that has not read the roster yet.
     pub fn new(me: Member, settings: MembershipSettings) -> Self {
         Self {
             me,
@@ -53,22 +53,22 @@
         }
     }
 
-    /// This entry as a member.
+    /// Returns this entry as a member.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// The adopted roster.
+    /// Returns the adopted roster.
     pub fn roster(&self) -> Option<&Roster> {
         self.roster.as_ref()
     }
 
-    /// The adopted version, zero before the first.
+    /// Returns the adopted version; zero before the first.
     pub fn version(&self) -> u64 {
         self.roster.as_ref().map_or(0, |roster| roster.version)
     }
 
-    /// Whether this run is in the adopted roster.
+    /// Returns whether this incarnation is in the adopted roster.
     pub fn is_member(&self) -> bool {
         self.is_in_roster(&self.me.id)
     }
@@ -78,31 +78,31 @@
         roster.is_some_and(|roster| roster.member(id).is_some())
     }
 
-    /// Whether the authority to accept new keys is fresh.
+    /// Returns whether the authority to accept new keys is fresh.
     pub fn is_fresh(&self, now: Moment) -> bool {
         self.is_member() && now < self.fresh_until
     }
 
-    /// Whether a change of the roster is under way here.
+    /// Returns whether this entry is proposing a change of the roster.
     pub fn is_proposing(&self) -> bool {
         self.proposal.is_some()
     }
 
-    /// When [`Membership::tick`] is due.
+    /// Returns the time at which [`Membership::tick`] is due.
     pub fn next_tick(&self, now: Moment) -> Moment {
         let renew = self
             .renewed_at
             .map_or(now, |at| at + self.settings.renew_interval);
-        let patience = self
+        let store_deadline = self
             .read_sent_at
             .filter(|_| self.round.is_none() && self.is_fresh(now))
             .map(|at| at + self.settings.store_timeout);
-        patience.map_or(renew, |patience| renew.min(patience.max(now)))
+        store_deadline.map_or(renew, |store_deadline| renew.min(store_deadline.max(now)))
     }
 
-    /// Time has passed: renewals, proposals, joins.
+    /// Does what has become due: renewals, proposals and requests to join.
     pub fn tick(&mut self, now: Now, out: &mut Vec<MembershipEffect>) {
-        self.note_stopped(now);
+        self.record_stopped(now);
         let renew_due = self
             .renewed_at
             .is_none_or(|at| now.monotonic.since(at) >= self.settings.renew_interval);
--- a/crates/mastknot_core/src/roster/membership_effect.rs
+++ b/crates/mastknot_core/src/roster/membership_effect.rs
@@ -2,40 +2,40 @@
 use crate::message::PeerMessage;
 use crate::types::NodeName;
 
-/// A compare-and-swap of the roster.
+/// Compare-and-swap of the roster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterWrite {
-    /// The store's revision of the roster that is replaced; zero if there is none.
+    /// Store's revision of the roster to replace; zero if there is none.
     pub expected_revision: u64,
     /// The new roster.
     pub roster: Roster,
 }
 
-/// What the store decided about a [`RosterWrite`].
+/// Decision of the store on a [`RosterWrite`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteDecision {
-    /// It took effect at this revision.
+    /// The write took effect at this revision.
     Written(u64),
     /// Another write, or an earlier copy of this one, came first.
     Superseded,
 }
 
-/// What the membership wants done.
+/// Effect that the membership requests from its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEffect {
-    /// Send to one peer.
+    /// Send a message to one peer.
     ToPeer {
-        /// The peer.
+        /// Name of the peer.
         peer: NodeName,
         /// The message.
         message: PeerMessage,
     },
-    /// Send to every connected peer.
+    /// Send a message to every connected peer.
     ToPeers(PeerMessage),
-    /// Read the roster from the store, consistently.
+    /// Read the roster from the store with a consistent read.
     ReadRoster,
     /// Write the roster to the store.
     WriteRoster(RosterWrite),
-    /// Another version is in force here: connect to its members.
+    /// Connect to the members of this roster, which has been adopted.
     Adopted(Roster),
 }
--- a/crates/mastknot_core/src/roster/membership_settings.rs
+++ b/crates/mastknot_core/src/roster/membership_settings.rs
@@ -1,25 +1,25 @@
 use std::time::Duration;
 
-/// The times of the single-holder protocol.
+/// Durations of the single-holder protocol.
 ///
-/// `docs/design/submissions.md` gives the argument that needs them.
+/// `docs/design/submissions.md` gives the argument that depends on them.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipSettings {
-    /// How long an authority lasts after the moment at which it was asked for.
+    /// Time for which an authority lasts, counted from the moment at which it was requested.
     pub authority: Duration,
-    /// How often it is renewed.
+    /// Interval between renewals of the authority.
     pub renew_interval: Duration,
-    /// How long the store may take before the peers are asked.
+    /// Time without an answer from the store after which the peers are asked.
     pub store_timeout: Duration,
-    /// How long a member may be silent before it is voted out of the roster.
+    /// Time without a message after which a member is removed from the roster.
     pub silence: Duration,
-    /// The longest life of a credit on any side.
+    /// Maximum lifetime of a credit on any side.
     pub credit_lifetime: Duration,
-    /// How much faster one monotonic clock may run than another, in percent.
+    /// Maximum difference in speed between two monotonic clocks, in percent.
     pub clock_drift_percent: u32,
-    /// The most that two wall clocks differ.
+    /// Maximum difference between two wall clocks.
     pub max_clock_skew: Duration,
-    /// Keys older than this are refused everywhere.
+    /// Maximum age of a key; older keys are refused by all entries.
     pub max_key_age: Duration,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl MembershipSettings {
-    /// How long after a new version was learned an earlier holder may still be at work.
+    /// Returns how long an earlier holder may still be at work after a new version was learned.
     pub fn takeover_wait(&self) -> Duration {
         let wait = self.authority + self.credit_lifetime;
         wait + wait * self.clock_drift_percent / 100
--- a/crates/mastknot_core/src/roster/peer_view.rs
+++ b/crates/mastknot_core/src/roster/peer_view.rs
@@ -1,19 +1,19 @@
 use crate::types::{Incarnation, Moment};
 
-/// What an entry knows of one peer.
+/// An entry's knowledge of one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerView {
-    /// The highest run that was heard of.
+    /// Highest known incarnation of the peer.
     pub(crate) incarnation: Incarnation,
-    /// Whether a link stands.
+    /// Whether the peer is connected.
     pub(crate) is_connected: bool,
-    /// When anything came from it.
-    pub(crate) heard_at: Moment,
-    /// The roster version it has adopted.
+    /// Time of the last message from the peer.
+    pub(crate) last_received_at: Moment,
+    /// Roster version that the peer has adopted.
     pub(crate) adopted: u64,
-    /// Runs up to this one are dead, for certain.
+    /// Highest incarnation that is proven dead, together with all earlier ones.
     pub(crate) dead_up_to: Option<Incarnation>,
-    /// Whether it has handed its whole ledger over.
+    /// Whether the peer has handed over its whole ledger.
     pub(crate) has_handed_over: bool,
 }
 
@@ -22,7 +22,7 @@
         Self {
             incarnation,
             is_connected: false,
-            heard_at: now,
+            last_received_at: now,
             adopted: 0,
             dead_up_to: None,
             has_handed_over: false,
@@ -32,7 +32,8 @@
     pub(crate) fn is_dead(&self, incarnation: Incarnation) -> bool {
         self.dead_up_to.is_some_and(|dead| incarnation <= dead) || incarnation < self.incarnation
     }
-    /// Whether a run can't act under a version any more: it adopted a later one, or is dead.
+    /// Returns whether an incarnation can no longer act under a version, because it has adopted a
+    /// later one or is dead.
     pub(crate) fn has_moved_on(&self, incarnation: Incarnation, version: u64) -> bool {
         let is_same_run = self.incarnation == incarnation;
         (is_same_run && self.adopted > version) || self.is_dead(incarnation)
--- a/crates/mastknot_core/src/roster/peers.rs
+++ b/crates/mastknot_core/src/roster/peers.rs
@@ -1,4 +1,5 @@
-//! What is known of the peers: their links, their runs, and the versions they have adopted.
+//! Keeps what is known of the peers: their links, their incarnations, and the versions that they
+//! have adopted.
 
 use super::peer_view::PeerView;
 use super::{Member, MemberId, Membership, MembershipEffect, Roster};
@@ -6,12 +7,12 @@
 use crate::types::{Incarnation, Moment, NodeName, Now};
 
 impl Membership {
-    /// Whether a peer is connected.
+    /// Returns whether a peer is connected.
     pub fn is_connected(&self, peer: &NodeName) -> bool {
         self.peers.get(peer).is_some_and(|view| view.is_connected)
     }
 
-    /// The connected peers.
+    /// Returns the names of the connected peers.
     pub fn connected(&self) -> impl Iterator<Item = &NodeName> {
         self.peers
             .iter()
@@ -19,7 +20,7 @@
             .map(|(name, _)| name)
     }
 
-    /// A link to a peer stands and it said who it is.
+    /// Handles a new link to a peer that has sent its hello message.
     pub fn peer_connected(
         &mut self,
         now: Now,
@@ -37,7 +38,7 @@
             view.dead_up_to = dead_up_to;
         }
         view.is_connected = true;
-        view.heard_at = now.monotonic;
+        view.last_received_at = now.monotonic;
         view.adopted = view.adopted.max(version);
         if let Some(roster) = &self.roster
             && version < roster.version
@@ -47,29 +48,31 @@
                 message: PeerMessage::NewRoster(roster.clone()),
             });
         }
-        self.note_stopped(now);
+        self.record_stopped(now);
         self.propose_due(now, out);
     }
 
-    /// The link to a peer broke, which proves nothing about it.
+    /// Handles the loss of the link to a peer, which is no proof that the peer is dead.
     pub fn peer_disconnected(&mut self, peer: &NodeName) {
         if let Some(view) = self.peers.get_mut(peer) {
             view.is_connected = false;
         }
     }
 
-    /// A run of a peer is proven dead: its VM is gone from the list, or refuses connections.
+    /// Handles the proof that an incarnation of a peer is dead: its VM is gone from the platform's
+    /// list, or refuses connections.
     pub fn peer_dead(&mut self, now: Now, id: &MemberId, out: &mut Vec<MembershipEffect>) {
         let view = self.view(now.monotonic, &id.name);
         view.dead_up_to = view.dead_up_to.max(Some(id.incarnation));
         if view.incarnation <= id.incarnation {
             view.is_connected = false;
         }
-        self.note_stopped(now);
+        self.record_stopped(now);
         self.propose_due(now, out);
     }
 
-    /// A VM is gone from the platform's list: proof of death for a member that is silent too.
+    /// Handles a VM that is gone from the platform's list. This proves the death of a member only
+    /// if the member is disconnected and silent too.
     pub fn vm_gone(&mut self, now: Now, vm: &NodeName, out: &mut Vec<MembershipEffect>) {
         let member = self
             .roster
@@ -85,21 +88,21 @@
         }
     }
 
-    /// A peer has handed its whole ledger over.
+    /// Records that a peer has handed over its whole ledger.
     pub fn peer_handed_over(&mut self, now: Now, peer: &NodeName) {
         self.view(now.monotonic, peer).has_handed_over = true;
     }
 
-    /// Anything came from a peer.
+    /// Records the time of a message from a peer.
     pub fn peer_message_received(&mut self, now: Now, peer: &NodeName) {
-        self.view(now.monotonic, peer).heard_at = now.monotonic;
+        self.view(now.monotonic, peer).last_received_at = now.monotonic;
     }
 
-    /// A peer has adopted a version.
+    /// Records that a peer has adopted a version.
     pub fn peer_adopted(&mut self, now: Now, peer: &NodeName, version: u64) {
         let view = self.view(now.monotonic, peer);
         view.adopted = view.adopted.max(version);
-        self.note_stopped(now);
+        self.record_stopped(now);
     }
 
     pub(super) fn is_dead(&self, id: &MemberId) -> bool {
@@ -112,8 +115,8 @@
     }
 
     pub(super) fn is_silent(&self, now: Moment, id: &MemberId) -> bool {
-        let heard = self.peers.get(&id.name).map(|view| view.heard_at);
-        heard.is_some_and(|heard| now.since(heard) > self.settings.silence)
+        let last_received = self.peers.get(&id.name).map(|view| view.last_received_at);
+        last_received.is_some_and(|last_received| now.since(last_received) > self.settings.silence)
     }
 
     fn view(&mut self, now: Moment, peer: &NodeName) -> &mut PeerView {
--- a/crates/mastknot_core/src/roster/proposing.rs
+++ b/crates/mastknot_core/src/roster/proposing.rs
@@ -1,4 +1,4 @@
-//! Proposing the changes of the roster: who joins, who leaves, who is lost.
+//! Proposes changes of the roster: members that join, leave or are lost.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use crate::message::PeerMessage;
 use crate::types::{Moment, Now};
 
-/// How often a newcomer asks to be let in.
+/// Interval between requests to join, sent until the entry is a member.
 const JOIN_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a write without an answer is sent again.
+/// Time without an answer after which a write is sent again.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A roster change that was sent to the store and is not known to be decided.
@@ -19,7 +19,7 @@
 }
 
 impl Membership {
-    /// A newcomer asks to be written into the roster.
+    /// Handles the request of a new entry to be written into the roster.
     pub fn join_requested(&mut self, now: Now, member: Member, out: &mut Vec<MembershipEffect>) {
         if self.is_in_roster(&member.id) {
             return;
@@ -28,7 +28,7 @@
         self.propose_due(now, out);
     }
 
-    /// The entry stops by plan: it asks to be written out of the roster.
+    /// Starts a planned stop: the entry proposes a roster without itself.
     pub fn leave(&mut self, now: Now, out: &mut Vec<MembershipEffect>) {
         self.is_leaving = true;
         self.propose_due(now, out);
@@ -46,7 +46,7 @@
         out.push(MembershipEffect::ToPeers(message));
     }
 
-    /// Proposes the change that is due, if this entry is the one to do it.
+    /// Proposes the change that is due, if this entry is the one to propose it.
     pub(super) fn propose_due(&mut self, now: Now, out: &mut Vec<MembershipEffect>) {
         if self.proposal.is_some() {
             return self.repeat_proposal(now, out);
@@ -60,14 +60,14 @@
         let next = if self.is_member() {
             self.due_change(now, &roster)
         } else {
-            self.restart_of_all(now, &roster)
+            self.restarted_roster(now, &roster)
         };
         if let Some(next) = next {
             self.propose(now, self.revision, next, out);
         }
     }
 
-    /// Sends a write again that has had no answer.
+    /// Sends a write again if it has not been answered in time.
     fn repeat_proposal(&mut self, now: Now, out: &mut Vec<MembershipEffect>) {
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -78,8 +78,9 @@
         }
     }
 
-    /// All members are dead, so nobody can let this entry in: it begins a roster of its own.
-    fn restart_of_all(&self, now: Now, roster: &Roster) -> Option<Roster> {
+    /// Returns a roster with this entry alone if all members are dead, since no member is left that
+    /// could add this entry.
+    fn restarted_roster(&self, now: Now, roster: &Roster) -> Option<Roster> {
         let all_dead = roster.member_ids().all(|id| self.is_dead(id));
         if !all_dead || self.is_leaving {
             return None;
@@ -89,7 +90,7 @@
         Some(next)
     }
 
-    /// The change that a member has to propose.
+    /// Returns the change that this entry has to propose as a member.
     fn due_change(&self, now: Now, roster: &Roster) -> Option<Roster> {
         let is_proposer =
             self.is_fresh(now.monotonic) && self.is_first_alive(now.monotonic, roster);
@@ -114,7 +115,8 @@
         Some(roster.with(newcomer.clone(), wall))
     }
 
-    /// Whether this entry is the first live member by name: it alone proposes, as a rule.
+    /// Returns whether this entry is the first live member by name. Normally only that member
+    /// proposes changes, but a member that is leaving proposes its own departure.
     fn is_first_alive(&self, now: Moment, roster: &Roster) -> bool {
         let mut alive = roster
             .member_ids()
@@ -133,7 +135,7 @@
         roster: Roster,
         out: &mut Vec<MembershipEffect>,
     ) {
-        // From here on this entry confirms the old version to nobody.
+        // From here on this entry confirms the old version to no peer.
         let oldest = self.oldest_kept(now).as_millis();
         let write = RosterWrite {
             expected_revision,
--- a/crates/mastknot_core/src/roster/renewing.rs
+++ b/crates/mastknot_core/src/roster/renewing.rs
@@ -1,4 +1,5 @@
-//! Renewing the authority: from the store, or by the peers' word while the store is silent.
+//! Renews the authority, from the store or through the confirmations of all peers while the store
+//! does not answer.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +7,7 @@
 use crate::message::PeerMessage;
 use crate::types::{Moment, NodeName, Now};
 
-/// A question to all peers whether a version still stands.
+/// Request to all peers to confirm that a version is still in force.
 #[derive(Clone, Debug)]
 pub(super) struct ConfirmRound {
     nonce: u64,
@@ -20,7 +21,7 @@
         out.push(MembershipEffect::ReadRoster);
     }
 
-    /// The store answered a read of the roster that was sent at `sent_at`.
+    /// Handles the store's answer to a read of the roster that was sent at `sent_at`.
     pub fn roster_read(
         &mut self,
         now: Now,
@@ -45,13 +46,14 @@
         self.extend(sent_at);
     }
 
-    /// The store gave no answer to a read.
+    /// Handles a read of the roster that the store has not answered.
     pub fn roster_read_failed(&mut self, now: Now, out: &mut Vec<MembershipEffect>) {
         self.read_sent_at = None;
         self.ask_peers(now, out);
     }
 
-    /// The store decided a write: it took effect at `revision`, or another came first.
+    /// Handles the store's decision on a write: it took effect at `revision`, or another write came
+    /// first.
     pub fn roster_written(
         &mut self,
         now: Now,
@@ -69,7 +71,7 @@
                     self.adopt(now, roster, out);
                 }
             }
-            // Another change came first, or an earlier copy of this one did: the store knows.
+            // Another change or an earlier copy of this one came first; the store shows which.
             WriteDecision::Superseded => self.read_now(now, out),
         }
     }
@@ -79,7 +81,7 @@
         self.fresh_until = self.fresh_until.max(until);
     }
 
-    /// The store does not answer: asks every other member to confirm the version.
+    /// Asks every other member to confirm the version, because the store does not answer.
     pub(super) fn ask_peers(&mut self, now: Now, out: &mut Vec<MembershipEffect>) {
         if !self.is_fresh(now.monotonic) || self.round.is_some() {
             return;
@@ -92,7 +94,7 @@
             confirmed: BTreeSet::new(),
         });
         if self.has_all_confirmations() {
-            // The only member: nobody else can write the next version.
+            // This entry is the only member, so no other entry can write the next version.
             self.round = None;
             if self.proposal.is_none() {
                 self.extend(now.monotonic);
@@ -104,7 +106,7 @@
         out.push(MembershipEffect::ToPeers(message));
     }
 
-    /// A peer asks whether this entry still stands by a version.
+    /// Handles a peer's question whether this entry still has a version in force.
     pub fn confirmation_requested(
         &mut self,
         now: Now,
@@ -113,8 +115,8 @@
         version: u64,
         out: &mut Vec<MembershipEffect>,
     ) {
-        let stands = version == self.version() && self.is_fresh(now.monotonic);
-        if stands && self.proposal.is_none() {
+        let is_current = version == self.version() && self.is_fresh(now.monotonic);
+        if is_current && self.proposal.is_none() {
             out.push(MembershipEffect::ToPeer {
                 peer: peer.clone(),
                 message: PeerMessage::Confirmed { nonce, version },
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A peer confirmed a version.
+    /// Handles a peer's confirmation of a version.
     pub fn confirmed(&mut self, now: Now, peer: &NodeName, nonce: u64, version: u64) {
         if version != self.version() || !self.is_fresh(now.monotonic) {
             return;
--- a/crates/mastknot_core/src/roster/roster.rs
+++ b/crates/mastknot_core/src/roster/roster.rs
@@ -5,14 +5,14 @@
 use super::{Member, MemberId};
 use crate::types::SubmissionKey;
 
-/// The members of an earlier version, as later versions remember them.
+/// Members of an earlier version, as kept in later versions.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct PastMembers {
     /// The earlier version.
     pub version: u64,
-    /// Its members.
+    /// Members of the earlier version.
     pub members: Vec<MemberId>,
-    /// When its successor was proposed, by the proposer's wall clock, in milliseconds.
+    /// Time at which the next version was proposed, by the proposer's wall clock, in milliseconds.
     pub replaced_at_ms: u64,
 }
 
@@ -37,16 +37,16 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Roster {
-    /// Rises by one with each change.
+    /// Version of the roster; it rises by one with each change.
     pub version: u64,
-    /// The members, by name.
+    /// Members, sorted by name.
     pub members: Vec<Member>,
-    /// Earlier versions that keys still in use may have been held under, oldest first.
+    /// Earlier versions under which keys that are still in use may have been held, oldest first.
     pub past: Vec<PastMembers>,
 }
 
 impl Roster {
-    /// The first version with one member.
+    /// Returns the first version, with one member.
     pub fn first(member: Member) -> Self {
         Self {
             version: 1,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// The next version with `member` in it, in place of an earlier run of the same entry.
+    /// Returns the next version with `member` in place of any earlier incarnation of the same
+    /// entry.
     pub fn with(&self, member: Member, wall_ms: u64) -> Self {
         let mut next = self.successor(wall_ms);
         next.members.retain(|other| other.id.name != member.id.name);
@@ -64,7 +65,7 @@
         next
     }
 
-    /// The next version without the member `id`.
+    /// Returns the next version without the member `id`.
     pub fn without(&self, id: &MemberId, wall_ms: u64) -> Self {
         let mut next = self.successor(wall_ms);
         next.members.retain(|member| member.id != *id);
@@ -82,23 +83,23 @@
         next
     }
 
-    /// Forgets earlier versions that were replaced before `wall_ms`.
+    /// Removes the earlier versions that were replaced before `wall_ms`.
     pub fn forget_before(mut self, wall_ms: u64) -> Self {
         self.past.retain(|past| past.replaced_at_ms >= wall_ms);
         self
     }
 
-    /// The members' names and runs.
+    /// Returns the names and incarnations of the members.
     pub fn member_ids(&self) -> impl Iterator<Item = &MemberId> {
         self.members.iter().map(|member| &member.id)
     }
 
-    /// The member `id`.
+    /// Returns the member `id`.
     pub fn member(&self, id: &MemberId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == *id)
     }
 
-    /// The member that holds a key: the highest rendezvous hash.
+    /// Returns the member that holds a key: the one with the highest rendezvous hash.
     pub fn holder(&self, key: SubmissionKey) -> Option<&Member> {
         self.members
             .iter()
@@ -107,7 +108,7 @@
 }
 
 impl PastMembers {
-    /// The member that held a key under this version.
+    /// Returns the member that held a key under this version.
     pub fn holder(&self, key: SubmissionKey) -> Option<&MemberId> {
         self.members.iter().max_by_key(|id| rendezvous(key, id))
     }
