--- a/crates/mastknot_core/src/admission/mod.rs
+++ b/crates/mastknot_core/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! What early refusal is based on.
+//! Measurements on which early refusal is based.
 
 mod start_rate;
 
--- a/crates/mastknot_core/src/admission/start_rate.rs
+++ b/crates/mastknot_core/src/admission/start_rate.rs
@@ -2,14 +2,14 @@
 
 use crate::types::Moment;
 
-/// The length of one counting window.
+/// Length of one counting window.
 const WINDOW: Duration = Duration::from_millis(500);
-/// The fewest starts that make a rate.
+/// Minimum number of starts in a window from which a rate is computed.
 const FEWEST_STARTS: u32 = 8;
 
-/// How many waiting tasks an entry starts in a second while it has a queue.
+/// Number of waiting tasks that an entry starts per second while it has a queue.
 ///
-/// Starts that did not have to wait say nothing about the capacity, so they are not counted.
+/// Starts without a wait are not counted, because they say nothing about the capacity.
 ///
 /// # Examples
 ///
@@ -32,7 +32,7 @@
 }
 
 impl StartRate {
-    /// Counts one start.
+    /// Counts one start if the task had to wait.
     pub fn record(&mut self, now: Moment, had_to_wait: bool) {
         if !had_to_wait {
             return;
@@ -50,7 +50,7 @@
         self.in_window += 1;
     }
 
-    /// The latest rate, if tasks had to wait lately.
+    /// Returns the latest rate, or `None` if no rate was measured recently.
     pub fn per_second(&self, now: Moment) -> Option<f64> {
         self.last
             .filter(|(at, _)| now.since(*at) < WINDOW * 4)
--- a/crates/mastknot_core/src/decision/decision_log.rs
+++ b/crates/mastknot_core/src/decision/decision_log.rs
@@ -3,7 +3,8 @@
 use super::Decision;
 use crate::types::{SubmissionKey, WallTime};
 
-/// The latest decisions of one entry, bounded in number; the oldest goes first.
+/// Log of the latest decisions of one entry. It is bounded in number; the oldest decision is
+/// dropped first.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     capacity: usize,
@@ -12,7 +13,7 @@
 }
 
 impl DecisionLog {
-    /// A log that keeps the latest `capacity` decisions.
+    /// Returns a log that keeps the latest `capacity` decisions.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Keeps a decision; returns its number.
+    /// Adds a decision and returns its number.
     pub fn record(&mut self, wall: WallTime, decision: Decision) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
@@ -32,19 +33,19 @@
         id
     }
 
-    /// The decisions after number `after`, oldest first, with their numbers and times.
+    /// Returns the decisions after number `after` with their numbers and times, oldest first.
     pub fn since(&self, after: u64) -> impl Iterator<Item = &(u64, WallTime, Decision)> {
         self.records.iter().filter(move |(id, _, _)| *id > after)
     }
 
-    /// The decisions about one submission, oldest first.
+    /// Returns the decisions about one submission, oldest first.
     pub fn of(&self, key: SubmissionKey) -> impl Iterator<Item = &(u64, WallTime, Decision)> {
         self.records
             .iter()
             .filter(move |(_, _, decision)| decision.key == key)
     }
 
-    /// The lowest number that is still kept.
+    /// Returns the lowest number in the log, or the next number if the log is empty.
     pub fn oldest(&self) -> u64 {
         self.records.front().map_or(self.next_id, |(id, _, _)| *id)
     }
--- a/crates/mastknot_core/src/decision/decision_record.rs
+++ b/crates/mastknot_core/src/decision/decision_record.rs
@@ -6,70 +6,71 @@
 use crate::message::{FailReason, NotRunReason, RefusalReason};
 use crate::types::{NodeName, SubmissionKey};
 
-/// The rule that made a decision.
+/// Rule by which a decision was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "rule")]
 pub enum Rule {
-    /// Accepted: the expected wait was within the deadline.
+    /// The submission was accepted: its expected wait was within the deadline.
     Accepted {
-        /// The wait that was expected, in milliseconds.
+        /// Expected wait in milliseconds.
         expected_wait_ms: u64,
-        /// Tasks that waited ahead.
+        /// Number of tasks that waited ahead of the submission.
         ahead: u32,
     },
-    /// Refused.
+    /// The submission was refused.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// The wait that was expected, in milliseconds.
+        /// Expected wait in milliseconds.
         expected_wait_ms: u64,
     },
-    /// Placed on the side with the lowest score among those with an idle credit.
+    /// The task was placed on the side with the lowest score among those with an idle credit.
     BestCredit,
-    /// Started again, since the side said that it did not run.
+    /// The task was started again, because a side reported that it did not run.
     NotRunAgain {
-        /// What the side said.
+        /// Reason reported by the side.
         reason: NotRunReason,
     },
-    /// Started again after an unknown outcome: the service allows it and the budget did.
+    /// The task was started again after an unknown outcome: the service is repeatable and the retry
+    /// budget covered it.
     UnknownAgain,
-    /// A second attempt beside a slow first one.
+    /// A second attempt was started beside a slow first one.
     Hedge,
-    /// Failed as a whole.
+    /// The submission failed as a whole.
     Failed {
-        /// Why.
+        /// Reason for the failure.
         reason: FailReason,
     },
-    /// Completed.
+    /// The submission completed.
     Completed,
 }
 
 /// One decision about a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Decision {
-    /// The submission.
+    /// Key of the submission.
     #[serde(serialize_with = "as_text")]
     pub key: SubmissionKey,
-    /// The task, if the decision is about one.
+    /// Index of the task, if the decision is about a single task.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub task: Option<u16>,
-    /// The rule that decided.
+    /// Rule by which the decision was made.
     #[serde(flatten)]
     pub rule: Rule,
-    /// The side that was chosen.
+    /// Side that the decision is about: the chosen side, or the side of the failed attempt.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub chosen: Option<NodeName>,
-    /// The best candidates, the chosen one first.
+    /// Best candidates, the chosen one first.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub candidates: Vec<Candidate>,
-    /// How long the work had waited, in microseconds.
+    /// Time for which the work had waited, in microseconds.
     pub waited_micros: u64,
-    /// The configuration version in force.
+    /// Configuration version in force at the time of the decision.
     pub config_version: u64,
 }
 
 impl Decision {
-    /// A decision about a whole submission.
+    /// Returns a decision about a whole submission.
     pub fn new(key: SubmissionKey, rule: Rule) -> Self {
         Self {
             key,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Sets the task.
+    /// Sets the index of the task.
     pub fn task(mut self, index: u16) -> Self {
         self.task = Some(index);
         self
@@ -95,7 +96,7 @@
         self
     }
 
-    /// Sets how long the work had waited.
+    /// Sets the time for which the work had waited.
     pub fn waited(mut self, waited: Duration) -> Self {
         self.waited_micros = waited.as_micros() as u64;
         self
--- a/crates/mastknot_core/src/decision/mod.rs
+++ b/crates/mastknot_core/src/decision/mod.rs
@@ -1,4 +1,4 @@
-//! Bounded records of what was decided and why.
+//! Bounded log of decisions and the rules behind them.
 
 mod decision_log;
 mod decision_record;
--- a/crates/mastknot_core/src/dispatch/active_submission.rs
+++ b/crates/mastknot_core/src/dispatch/active_submission.rs
@@ -4,18 +4,18 @@
 use crate::message::{CreditSeq, Digest, Payload, TaskResult};
 use crate::types::{Incarnation, Moment, NodeName};
 
-/// One start of one task.
+/// One start of a task on a side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Attempt {
     pub(crate) side: NodeName,
-    /// The run of the side on whose link the start was sent.
+    /// Incarnation of the side on whose link the start was sent.
     pub(crate) incarnation: Incarnation,
     pub(crate) credit: CreditSeq,
     pub(crate) at: Moment,
     pub(crate) queued_at: Moment,
 }
 
-/// A submission between its acceptance and its answer.
+/// Accepted submission that has no answer yet.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveSubmission {
     pub(crate) team: NodeName,
@@ -29,21 +29,22 @@
     pub(crate) missing: u16,
     pub(crate) accepted_at: Moment,
     pub(crate) deadline: Moment,
-    /// The attempts that run, by task.
+    /// Attempts without an outcome yet, by task index.
     pub(crate) attempts: HashMap<u16, Vec<Attempt>>,
-    /// Starts that a side called "not run", over all tasks.
+    /// Number of starts that sides reported as not run, over all tasks of the submission.
     pub(crate) not_run: u32,
-    /// Whether any start was sent and not called "not run" since.
+    /// Whether the outcome of any start is unknown. If it is, the submission can't be refused as
+    /// "not run".
     pub(crate) may_have_run: bool,
 }
 
 impl ActiveSubmission {
-    /// Whether the submission is a request that may run more than once.
+    /// Returns whether the submission is a request that may run more than once.
     pub(crate) fn is_repeatable(&self) -> bool {
         self.is_request && self.definition.repeatable
     }
 
-    /// Takes the attempt out that `matches`, if one does.
+    /// Removes and returns the first attempt of the task for which `matches` returns true.
     pub(crate) fn take_attempt(
         &mut self,
         index: u16,
@@ -58,7 +59,7 @@
         Some(attempt)
     }
 
-    /// The sides that run an attempt now.
+    /// Returns the sides that have an attempt without an outcome, sorted and without duplicates.
     pub(crate) fn running_sides(&self) -> Vec<NodeName> {
         let all = self.attempts.values().flatten();
         let mut sides: Vec<_> = all.map(|attempt| attempt.side.clone()).collect();
--- a/crates/mastknot_core/src/dispatch/asking.rs
+++ b/crates/mastknot_core/src/dispatch/asking.rs
@@ -1,4 +1,4 @@
-//! Stating demand to sides and peers, and keeping idle credits alive.
+//! Requests for credits to sides and peers, and renewal of idle credits.
 
 use std::time::Duration;
 
@@ -7,18 +7,20 @@
 use crate::message::{CreditSeq, Demand, EntryMessage};
 use crate::types::{Moment, NodeName};
 
-/// How often demand is stated again to a side while tasks wait.
+/// Minimum time between two demands to a side that has idle slots.
 const DEMAND_INTERVAL: Duration = Duration::from_millis(300);
-/// How often demand is stated to a side that is not known to have resting slots.
+/// Minimum time between two demands to a side that is not known to have idle slots.
 const BLIND_DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long sides have to answer before others are asked as well.
+/// Minimum time between two rounds of demands to sides. The sides asked in one round can answer
+/// before others are asked.
 const SIDE_ASK_INTERVAL: Duration = Duration::from_millis(5);
-/// Sides whose idle credits are renewed at one check; the rest may lapse.
+/// Maximum number of sides whose idle credits are renewed at one check. Credits of the other sides
+/// may expire.
 const RENEWED_SIDES: usize = 3;
 
 impl Dispatcher {
-    /// What waits here.
+    /// Returns the number of waiting tasks and the order key of the most urgent one.
     pub(super) fn demand(&self) -> Demand {
         Demand {
             wanted: self.queue.waiting(),
@@ -26,14 +28,14 @@
         }
     }
 
-    /// Tasks wait and no credit is at hand: states the demand to sides with resting slots and to
-    /// peers.
+    /// Sends the demand to sides with idle slots and to peers. Called when tasks wait and no credit
+    /// is left.
     pub(super) fn ask(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
         let demand = self.demand();
         if self.entries > 1 {
             self.ask_peers(now, demand, out);
         }
-        // What was asked for a moment ago is still on its way.
+        // Credits requested within this interval may still be in transit.
         let asked_lately = self
             .asked_sides_at
             .is_some_and(|at| now.since(at) < SIDE_ASK_INTERVAL);
@@ -54,7 +56,8 @@
             .map(|(name, side)| (side.resting, name.clone()))
             .collect();
         untold.sort_by_key(|(resting, _)| std::cmp::Reverse(*resting));
-        // Enough sides to have the slots; the others are asked when these had fewer.
+        // Demand goes to as many sides as have the slots needed. Other sides are asked in the next
+        // round if these sides had fewer.
         let mut missing = demand.wanted;
         for (resting, side) in untold {
             if missing == 0 {
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Asks peers for credits for the first submission, if its own would take long.
+    /// Requests credits from peers for the submission that goes next, if this entry's own credits
+    /// would take too long to become available.
     pub(super) fn ask_peers(&mut self, now: Moment, demand: Demand, out: &mut Vec<DispatchEffect>) {
         let first = demand.urgency.min(u64::from(demand.wanted)) as u32;
         let wanted = Demand {
@@ -87,11 +91,11 @@
         out.push(DispatchEffect::AskPeers { demand, running });
     }
 
-    /// How long this entry's own credits would take to start this many tasks.
+    /// Returns the time in which this entry's own credits would start the given number of tasks.
     pub(super) fn own_wait(&self, tasks: u32) -> Duration {
         let mean = Duration::from_micros(self.mean_cost_micros());
         if self.running == 0 {
-            // Nothing that runs here will bring a credit back.
+            // No task runs here whose answer could bring a credit back.
             return Duration::MAX;
         }
         mean * tasks / self.running
@@ -107,7 +111,7 @@
     ) {
         let Some(incarnation) = self.pool.update(now, side, |side| {
             side.told_at = Some(now);
-            // If some are left, the side's answer says so.
+            // The side reports in its answer how many slots are still idle.
             side.resting = 0;
             side.incarnation()
         }) else {
@@ -123,7 +127,8 @@
         out.push(DispatchEffect::ToSide { side, message });
     }
 
-    /// Idle credits worth keeping alive: recent use and a reserve.
+    /// Returns the number of idle credits to keep alive: the recent peak of running tasks and the
+    /// configured reserve.
     pub(super) fn reserve(&self) -> usize {
         self.peak_running as usize + self.profile.idle_reserve as usize
     }
@@ -148,7 +153,8 @@
         }
     }
 
-    /// Exchanges idle credits that near their end, up to the reserve; the rest may lapse.
+    /// Exchanges idle credits that expire soon, up to the reserve. Credits beyond the reserve may
+    /// expire.
     pub(super) fn renew(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
         self.renewed_at = now;
         self.counters.credits_lapsed += self.pool.drop_expired(now);
@@ -161,7 +167,7 @@
                 due.push((ending, name.clone()));
             }
         }
-        // One message renews all credits of a side, so the sides with many go first.
+        // One message renews all credits of a side, so the sides with the most credits go first.
         due.sort_by_key(|(ending, _)| std::cmp::Reverse(*ending));
         for (ending, side) in due.into_iter().take(RENEWED_SIDES) {
             let renewed = ending.min(allowed);
--- a/crates/mastknot_core/src/dispatch/credit_pool.rs
+++ b/crates/mastknot_core/src/dispatch/credit_pool.rs
@@ -8,23 +8,23 @@
 use crate::message::{Credit, CreditSeq, SideCredit, SideHello};
 use crate::types::{Hall, Moment, NodeName};
 
-/// How many candidates a decision records.
+/// Maximum number of candidates in a recorded decision.
 const RECORDED_CANDIDATES: usize = 3;
 
-/// A side that could have been chosen, as a decision records it.
+/// A side that could have been chosen, as recorded in a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Candidate {
-    /// The side.
+    /// Name of the side.
     pub side: NodeName,
-    /// Its score, lower is better.
+    /// Placement score of the side; lower is better.
     pub score: u32,
-    /// The idle credits held there.
+    /// Number of idle credits of the side that the entry holds.
     pub idle: u32,
 }
 
 type ReadyKey = (u32, Reverse<usize>, usize);
 
-/// All credits of one entry, ordered by how good their side is.
+/// All credits of one entry, with the sides ordered by placement score.
 #[derive(Clone, Debug)]
 pub(crate) struct CreditPool {
     hall: Hall,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Usable credits now.
+    /// Returns the number of idle credits.
     pub(crate) fn idle(&self) -> usize {
         self.idle
     }
@@ -58,7 +58,7 @@
         self.sides.get(name)
     }
 
-    /// Changes a side and puts it back in order.
+    /// Changes a side and updates its position in the order. Returns `None` if the side is unknown.
     pub(crate) fn update<R>(
         &mut self,
         now: Moment,
@@ -87,7 +87,7 @@
         self.ready_key.insert(index, key);
     }
 
-    /// Puts a side whose pause has ended back in order.
+    /// Adds sides whose pause has ended to the order again.
     pub(crate) fn resume_paused(&mut self, now: Moment) {
         for index in 0..self.sides.len() {
             let side = &self.sides[index];
@@ -119,14 +119,15 @@
         }
     }
 
-    /// Whether a credit for the service can be had.
+    /// Returns whether an idle credit of a side that runs the service exists.
     pub(crate) fn has_credit(&self, service: &NodeName) -> bool {
         self.ready
             .iter()
             .any(|(_, _, index)| self.sides[*index].runs_service(service))
     }
 
-    /// Takes the best credit for the service, not of the sides in `avoided`.
+    /// Takes a credit for the service from the side with the best score, leaving out the sides in
+    /// `avoided`. Returns the side, the credit and the best candidates.
     pub(crate) fn take(
         &mut self,
         now: Moment,
@@ -148,7 +149,7 @@
         let chosen = *indexes.first()?;
         let (name, side) = self.sides.get_index_mut(chosen)?;
         let name = name.clone();
-        // The oldest credit goes first: the others live longer.
+        // The oldest credit is used first, because the others expire later.
         let credit = side.credits.pop_front()?;
         side.running += 1;
         self.idle -= 1;
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Gives one idle credit away, from the side with the worst score.
+    /// Removes an idle credit of the side with the worst score and returns it for lending.
     pub(crate) fn lend_one(&mut self, now: Moment) -> Option<SideCredit> {
         let &(_, _, index) = self.ready.last()?;
         let (name, side) = self.sides.get_index_mut(index)?;
@@ -181,7 +182,7 @@
         Some(SideCredit { side, credit })
     }
 
-    /// Drops expired credits everywhere; returns how many.
+    /// Drops the expired credits of all sides and returns their number.
     pub(crate) fn drop_expired(&mut self, now: Moment) -> u64 {
         let mut dropped = 0;
         for index in 0..self.sides.len() {
@@ -195,7 +196,7 @@
         dropped
     }
 
-    /// Slots of all sides that run the service and are not leaving.
+    /// Returns the number of slots of all sides that run the service and are not leaving.
     pub(crate) fn slots(&self, service: &NodeName) -> u32 {
         self.sides
             .values()
--- a/crates/mastknot_core/src/dispatch/dispatch_effect.rs
+++ b/crates/mastknot_core/src/dispatch/dispatch_effect.rs
@@ -2,46 +2,46 @@
 use crate::message::{Demand, EntryMessage, Refusal, SideCredit, SubmissionAnswer};
 use crate::types::{NodeName, SubmissionKey};
 
-/// How the dispatcher is done with a submission.
+/// How a submission ended at the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It has its final answer.
+    /// The submission has its final answer.
     Answered(SubmissionAnswer),
-    /// It was given up on before anything of it started.
+    /// The submission was refused after it had been queued, and none of its tasks ran.
     Refused(Refusal),
 }
 
-/// What the dispatcher wants done.
+/// Action that the dispatcher requests from the entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchEffect {
     /// Send a message to a side.
     ToSide {
-        /// The side.
+        /// Name of the side.
         side: NodeName,
-        /// The message.
+        /// Message to send.
         message: EntryMessage,
     },
-    /// Ask every peer for credits.
+    /// Request credits from every peer.
     AskPeers {
-        /// How many can be used at once, and for what.
+        /// Number of credits that can be used at once, and the urgency of the tasks that need them.
         demand: Demand,
-        /// The tasks that run here.
+        /// Number of tasks that this entry runs.
         running: u32,
     },
-    /// Give credits up to a peer that has something more urgent.
+    /// Lend credits to a peer that has more urgent tasks.
     Lend {
-        /// The peer.
+        /// Name of the peer.
         peer: NodeName,
-        /// The credits.
+        /// Credits to lend.
         credits: Vec<SideCredit>,
     },
     /// A submission has ended.
     Ended {
-        /// The submission.
+        /// Key of the submission.
         key: SubmissionKey,
-        /// How.
+        /// How the submission ended.
         verdict: Verdict,
     },
-    /// A decision to keep for those who ask why.
+    /// Record a decision, so that operators can look up later why it was made.
     Decided(Decision),
 }
--- a/crates/mastknot_core/src/dispatch/dispatcher.rs
+++ b/crates/mastknot_core/src/dispatch/dispatcher.rs
@@ -13,38 +13,39 @@
 use crate::message::FailReason;
 use crate::types::{Hall, Incarnation, Moment, NodeName, SubmissionKey};
 
-/// How often idle credits are checked for renewal.
+/// Time between two checks of idle credits for renewal.
 const RENEW_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What an operator sees of a side.
+/// Status of a side as reported to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SideStatus {
-    /// The side.
+    /// Name of the side.
     pub side: NodeName,
-    /// Its run.
+    /// Incarnation of the side's process.
     pub incarnation: Incarnation,
-    /// Its hall.
+    /// Hall of the side.
     pub hall: Hall,
-    /// Its target's slots.
+    /// Number of slots of the side's target.
     pub slots: u16,
-    /// Tasks of this entry that run there.
+    /// Number of tasks of this entry that run on the side.
     pub running: u32,
-    /// Idle credits that this entry holds there.
+    /// Number of idle credits of the side that this entry holds.
     pub idle: u32,
-    /// The placement score.
+    /// Placement score of the side; lower is better.
     pub score: u32,
-    /// Its time against the usual time of the services.
+    /// Moving mean of the run times on this side, relative to the mean run times of the services. 1
+    /// is average.
     pub slowness: f64,
-    /// Whether it is paused after refusals.
+    /// Whether the side is paused after refusals or errors.
     pub is_paused: bool,
-    /// Whether it is leaving.
+    /// Whether the side is leaving and gets no new tasks.
     pub is_leaving: bool,
 }
 
 /// Queues, places, retries and ends the submissions of one entry.
 ///
-/// A task waits here until a credit is at hand (late binding); a credit is spent on the task that
-/// fairness puts first at that moment.
+/// A task waits at the entry until a credit is available (late binding). A credit is then spent on
+/// the task that goes first by fairness at that moment.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     pub(super) profile: Profile,
@@ -64,13 +65,13 @@
     pub(super) peak_at: Moment,
     pub(super) renewed_at: Moment,
     pub(super) asked_sides_at: Option<Moment>,
-    /// When peers were last asked, and for which submission.
+    /// Time of the last request for credits to peers, and the submission that it was for.
     pub(super) asked_peers: Option<(Moment, Option<SubmissionKey>)>,
     pub(super) peer_wants: BTreeMap<NodeName, PeerWant>,
 }
 
 impl Dispatcher {
-    /// An empty dispatcher of an entry in `hall` that queues at most `max_waiting` tasks.
+    /// Returns an empty dispatcher for an entry in `hall` that queues at most `max_waiting` tasks.
     pub fn new(hall: impl Into<Hall>, profile: Profile, max_waiting: u32) -> Self {
         let mut queue = FairQueue::new(JobOrder::default());
         queue.set_slack(slack_micros(&profile));
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Sets the order of a customer's submissions; only before the first is queued.
+    /// Sets the order in which a customer's submissions are started. Must be called before the
+    /// first submission is queued.
     pub fn job_order(mut self, order: JobOrder) -> Self {
         debug_assert!(self.active.is_empty(), "submissions are queued already");
         self.queue = FairQueue::new(order);
@@ -105,54 +107,54 @@
         self
     }
 
-    /// Puts a changed profile in force.
+    /// Applies a changed profile.
     pub fn set_profile(&mut self, profile: Profile) {
         self.retry_budget.set_percent(profile.retry_budget_percent);
         self.queue.set_slack(slack_micros(&profile));
         self.profile = profile;
     }
 
-    /// Sets how many entries share the sides.
+    /// Sets the number of entries that share the sides.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Sets a team's weight and the tasks it may run here while others wait.
+    /// Sets a team's weight and the number of tasks that it may run here while other teams wait.
     pub fn set_team(&mut self, team: &NodeName, weight: u32, limit: u32) {
         self.queue.set_team(team, weight, limit);
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     pub fn counters(&self) -> DispatchCounters {
         self.counters
     }
 
-    /// Tasks that wait.
+    /// Returns the number of waiting tasks.
     pub fn waiting(&self) -> u32 {
         self.queue.waiting()
     }
 
-    /// Tasks that run.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Submissions that have no answer yet.
+    /// Returns the number of submissions without an answer.
     pub fn active(&self) -> usize {
         self.active.len()
     }
 
-    /// Idle credits at hand.
+    /// Returns the number of idle credits.
     pub fn idle_credits(&self) -> usize {
         self.pool.idle()
     }
 
-    /// Running tasks by team, for sharing quotas between entries.
+    /// Returns the number of running tasks by team. Entries exchange it to share the teams' quotas.
     pub fn running_by_team(&self) -> Vec<(NodeName, u32)> {
         self.queue.running_by_team()
     }
 
-    /// What an operator sees of each side.
+    /// Returns the status of each side as reported to operators.
     pub fn side_status(&self, now: Moment) -> Vec<SideStatus> {
         let status = |(name, side): (&NodeName, &PooledSide)| SideStatus {
             side: name.clone(),
@@ -169,14 +171,15 @@
         self.pool.sides().map(status).collect()
     }
 
-    /// How far a submission is: tasks answered and tasks in all.
+    /// Returns the number of answered tasks and the total number of tasks of a submission. Returns
+    /// `None` if the submission is not active.
     pub fn progress(&self, key: SubmissionKey) -> Option<(u16, u16)> {
         let submission = self.active.get(&key)?;
         let count = submission.results.len() as u16;
         Some((count - submission.missing, count))
     }
 
-    /// When [`Dispatcher::tick`] is due.
+    /// Returns the time at which [`Dispatcher::tick`] must be called next, if at all.
     pub fn next_tick(&self, now: Moment) -> Option<Moment> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let hedge = self.hedges.first().map(|(at, _)| *at);
@@ -196,7 +199,8 @@
 
     // ---- time ----
 
-    /// Time has passed: deadlines, hedges, pauses, renewals and open demand.
+    /// Handles the passage of time: ends submissions at their deadline, starts hedges, resumes
+    /// paused sides, renews credits and repeats open demand.
     pub fn tick(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
         while let Some((at, key)) = self.deadlines.first().copied() {
             if at > now {
--- a/crates/mastknot_core/src/dispatch/fair_level.rs
+++ b/crates/mastknot_core/src/dispatch/fair_level.rs
@@ -2,22 +2,23 @@
 
 use crate::types::NodeName;
 
-/// How a rival stands at one level: a team among teams, or a customer among customers.
+/// Position of one competitor on one level. On the upper level teams compete, on the lower level
+/// the customers of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Standing {
-    /// Whether it is at its limit, so that it goes only if no other can.
+    /// Whether the competitor is at its limit and goes only if no competitor below its limit can.
     pub(crate) is_over: bool,
-    /// The order key of its first submission: lower goes first.
+    /// Order key of the competitor's first submission; lower goes first.
     pub(crate) head: u64,
-    /// The work it has taken so far, by its weight, in microseconds.
+    /// Work taken so far in microseconds; for teams it is divided by the weight.
     pub(crate) taken: u64,
 }
 
-/// Rivals that have something waiting.
+/// Competitors on one level that have waiting tasks.
 ///
-/// The lowest head goes first, as long as its owner is not ahead of the rival that has taken the
-/// least by more than the slack. With no slack this is plain fair sharing; with endless slack it
-/// is the plain order of the heads.
+/// The competitor with the lowest head goes first, unless its taken work exceeds the least taken
+/// work on the level by more than the slack. With a slack of zero the level is plain fair sharing;
+/// with an unlimited slack it is ordered by head alone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairLevel {
     standings: BTreeMap<NodeName, Standing>,
@@ -26,7 +27,7 @@
 }
 
 impl FairLevel {
-    /// Sets how a rival stands; none takes it out.
+    /// Sets the position of a competitor; `None` removes the competitor.
     pub(crate) fn set(&mut self, name: &NodeName, standing: Option<Standing>) {
         if let Some(old) = self.standings.remove(name) {
             self.by_head.remove(&(old.is_over, old.head, name.clone()));
@@ -39,12 +40,12 @@
         }
     }
 
-    /// The least that any rival has taken.
+    /// Returns the least work that any competitor has taken.
     pub(crate) fn least_taken(&self) -> Option<u64> {
         self.by_taken.first().map(|(taken, _)| *taken)
     }
 
-    /// The rivals in the order in which they may go.
+    /// Returns the competitors in the order in which they may start a task.
     pub(crate) fn order(&self, slack: u64) -> impl Iterator<Item = &NodeName> {
         let least = self.least_taken().unwrap_or(0);
         let is_near =
@@ -58,12 +59,12 @@
         near.chain(far.map(|(_, name)| name))
     }
 
-    /// The lowest head of all.
+    /// Returns the lowest head on the level.
     pub(crate) fn first_head(&self) -> Option<u64> {
         self.by_head.iter().map(|(_, head, _)| *head).min()
     }
 
-    /// How many rivals wait.
+    /// Returns the number of competitors with waiting tasks.
     pub(crate) fn len(&self) -> usize {
         self.standings.len()
     }
--- a/crates/mastknot_core/src/dispatch/fair_queue.rs
+++ b/crates/mastknot_core/src/dispatch/fair_queue.rs
@@ -4,31 +4,31 @@
 use super::fair_level::{FairLevel, Standing};
 use crate::types::{Moment, NodeName, SubmissionKey, TaskId};
 
-/// A task that was taken from the queue.
+/// A task taken from the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedTask {
-    /// The task.
+    /// Identifier of the task.
     pub task: TaskId,
-    /// The service that runs it.
+    /// Service that runs the task.
     pub service: NodeName,
-    /// Since when it waited.
+    /// Time at which the submission of the task was queued.
     pub since: Moment,
 }
 
-/// A submission whose tasks are to wait.
+/// A submission to add to the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewWork {
-    /// Its team.
+    /// Team of the submission.
     pub team: NodeName,
-    /// The team's customer.
+    /// Customer of the team.
     pub customer: NodeName,
-    /// The service that runs its tasks.
+    /// Service that runs the tasks.
     pub service: NodeName,
-    /// Its key.
+    /// Key of the submission.
     pub key: SubmissionKey,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub count: u16,
-    /// Its deadline.
+    /// Deadline of the submission.
     pub deadline: Moment,
 }
 
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct CustomerQueue {
-    /// Work taken so far, in microseconds.
+    /// Work taken so far in microseconds.
     taken: u64,
     order: BTreeSet<(u64, SubmissionKey)>,
     submissions: HashMap<SubmissionKey, QueuedSubmission>,
@@ -50,7 +50,8 @@
 }
 
 impl CustomerQueue {
-    /// Takes the next task of a submission; says whether it was the submission's last.
+    /// Takes the next task of a submission. The flag in the result is true if no task of the
+    /// submission is left in the queue.
     fn take(&mut self, key: SubmissionKey, by_remaining: bool) -> (QueuedTask, bool) {
         self.waiting -= 1;
         let submission = self.submissions.get_mut(&key).expect("submission waits");
@@ -73,7 +74,7 @@
         (task, false)
     }
 
-    /// Removes what waits of a submission; returns how many tasks that were.
+    /// Removes the waiting tasks of a submission and returns their number.
     fn remove(&mut self, key: SubmissionKey) -> u32 {
         let Some(submission) = self.submissions.remove(&key) else {
             return 0;
@@ -99,7 +100,7 @@
     weight: u64,
     limit: u32,
     running: u32,
-    /// Work taken so far, in microseconds, divided by the weight.
+    /// Work taken so far in microseconds, divided by the team's weight.
     taken: u64,
     level: FairLevel,
     customers: HashMap<NodeName, CustomerQueue>,
@@ -120,7 +121,7 @@
         })
     }
 
-    /// Changes a customer's queue and puts the customer back in order.
+    /// Changes a customer's queue and updates the customer's position on the level.
     fn touch<R>(&mut self, customer: &NodeName, change: impl FnOnce(&mut CustomerQueue) -> R) -> R {
         let queue = self.customers.entry(customer.clone()).or_default();
         let result = change(queue);
@@ -130,11 +131,11 @@
     }
 }
 
-/// Waiting tasks, shared fairly between teams and between the customers of a team.
+/// Queue of waiting tasks that is shared fairly between teams and between the customers of a team.
 ///
-/// A [`JobOrder`] decides which submission goes next, within bounds: no team may run ahead of
-/// another that waits by more work than the slack (by weight), and no customer ahead of another
-/// of its team. A team at its limit goes only when no team below its own waits.
+/// A [`JobOrder`] decides which submission goes next, within bounds: no team may take more work (by
+/// weight) than another waiting team by more than the slack, and the same holds for the customers
+/// of a team. A team at its limit goes only if no team below its own limit waits.
 ///
 /// # Examples
 ///
@@ -166,12 +167,14 @@
     place: HashMap<SubmissionKey, (NodeName, NodeName)>,
     arrivals: u64,
     waiting: u32,
-    /// The work taken by those that went last: newcomers start from there.
+    /// Virtual time of the queue: the taken work of the teams served last. A team that starts to
+    /// wait begins with at least this value, so idle time gives it no credit.
     base: u64,
 }
 
 impl FairQueue {
-    /// An empty queue without slack: plain fair sharing between teams and customers.
+    /// Returns an empty queue with a slack of zero, which shares evenly between teams and
+    /// customers.
     pub fn new(job_order: JobOrder) -> Self {
         Self {
             job_order,
@@ -185,27 +188,27 @@
         }
     }
 
-    /// Sets by how much work, in microseconds, one may run ahead of another.
+    /// Sets the amount of work in microseconds by which a team or customer may be ahead of another.
     pub fn set_slack(&mut self, micros: u64) {
         self.slack = micros;
     }
 
-    /// Tasks that wait.
+    /// Returns the number of waiting tasks.
     pub fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Tasks of a team that wait.
+    /// Returns the number of waiting tasks of a team.
     pub fn team_waiting(&self, team: &NodeName) -> u32 {
         self.teams.get(team).map_or(0, |queue| queue.waiting)
     }
 
-    /// Tasks of a team that run.
+    /// Returns the number of running tasks of a team.
     pub fn team_running(&self, team: &NodeName) -> u32 {
         self.teams.get(team).map_or(0, |queue| queue.running)
     }
 
-    /// Teams with tasks that run, and how many.
+    /// Returns the teams that have running tasks, with their number, sorted by name.
     pub fn running_by_team(&self) -> Vec<(NodeName, u32)> {
         let running = self.teams.iter().filter(|(_, queue)| queue.running > 0);
         let mut list: Vec<_> = running
@@ -215,7 +218,8 @@
         list
     }
 
-    /// The tasks that would go before a new one of this team and customer.
+    /// Estimates the number of waiting tasks that would go before a new task of this team and
+    /// customer.
     pub fn ahead_of(&self, team: &NodeName, customer: &NodeName) -> u32 {
         let Some(queue) = self.teams.get(team) else {
             return 0;
@@ -230,7 +234,7 @@
         by_team.min(u64::from(self.waiting)) as u32
     }
 
-    /// Sets a team's weight and how many tasks it may run here while others wait.
+    /// Sets a team's weight and the number of tasks that it may run here while other teams wait.
     pub fn set_team(&mut self, team: &NodeName, weight: u32, limit: u32) {
         self.touch_team(team, |queue| {
             queue.weight = u64::from(weight.max(1));
@@ -238,7 +242,7 @@
         });
     }
 
-    /// Adds the tasks `0..count` of a submission.
+    /// Adds a submission with the task indexes `0..count`.
     pub fn push(&mut self, now: Moment, work: NewWork) {
         let NewWork {
             team,
@@ -280,7 +284,8 @@
         });
     }
 
-    /// Puts a task that did not run back; it keeps its submission's place.
+    /// Returns a task that did not run to the queue. It goes to the front of its submission, which
+    /// keeps its place if other tasks of it wait and goes first otherwise.
     pub fn put_back(&mut self, team: &NodeName, customer: &NodeName, queued: QueuedTask) {
         let key = queued.task.key;
         self.waiting += 1;
@@ -301,7 +306,8 @@
         });
     }
 
-    /// Takes the next task whose service `can_start`; `cost_micros` is what it will take.
+    /// Takes the next task for whose service `can_start` returns true. The estimated run time
+    /// `cost_micros` is added to the work that its team and customer have taken.
     pub fn pop(
         &mut self,
         cost_micros: u64,
@@ -349,27 +355,27 @@
         None
     }
 
-    /// The submission that goes next.
+    /// Returns the key of the submission that goes next.
     pub fn first_key(&self) -> Option<SubmissionKey> {
         self.find(&|_: &NodeName| true).map(|(_, _, key)| key)
     }
 
-    /// The order key of the submission that goes first; lower is more urgent.
+    /// Returns the lowest order key of all waiting submissions; lower is more urgent.
     pub fn first_order(&self) -> Option<u64> {
         self.level.first_head()
     }
 
-    /// Whether a team runs as many tasks as it may while others wait.
+    /// Returns whether a team runs as many tasks as it may while other teams wait.
     pub fn is_over_limit(&self, team: &NodeName) -> bool {
         self.teams.get(team).is_some_and(TeamQueue::is_over)
     }
 
-    /// Notes that a task of a team was started beside the queue.
+    /// Records that a task of a team was started without being taken from the queue.
     pub fn note_extra_start(&mut self, team: &NodeName) {
         self.touch_team(team, |queue| queue.running += 1);
     }
 
-    /// Notes that a running task of a team has ended.
+    /// Records that a running task of a team has ended.
     pub fn note_ended(&mut self, team: &NodeName) {
         self.touch_team(team, |queue| {
             queue.running = queue.running.saturating_sub(1);
@@ -380,7 +386,7 @@
         }
     }
 
-    /// Removes what waits of a submission; returns how many tasks that were.
+    /// Removes the waiting tasks of a submission and returns their number.
     pub fn remove(&mut self, key: SubmissionKey) -> u32 {
         let Some((team, customer)) = self.place.remove(&key) else {
             return 0;
@@ -394,7 +400,7 @@
         removed
     }
 
-    /// Changes a team's queue and puts the team back in order.
+    /// Changes a team's queue and updates the team's position on the level.
     fn touch_team<R>(&mut self, team: &NodeName, change: impl FnOnce(&mut TeamQueue) -> R) -> R {
         let queue = self.teams.entry(team.clone()).or_insert_with(|| TeamQueue {
             weight: 1,
--- a/crates/mastknot_core/src/dispatch/hedging.rs
+++ b/crates/mastknot_core/src/dispatch/hedging.rs
@@ -1,4 +1,4 @@
-//! Second attempts beside slow first ones.
+//! Hedges: second attempts beside slow first attempts.
 
 use super::{DispatchEffect, Dispatcher};
 use crate::decision::{Decision, Rule};
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Starts a second attempt of a repeatable request that has one slow attempt.
+    /// Starts a second attempt of a repeatable request that has exactly one open attempt.
     pub(super) fn hedge(&mut self, now: Moment, key: SubmissionKey, out: &mut Vec<DispatchEffect>) {
         let Some(submission) = self.active.get(&key) else {
             return;
@@ -28,7 +28,7 @@
         let (slow, queued_at) = (only.side.clone(), only.queued_at);
         let service = submission.service.clone();
         let team = submission.team.clone();
-        // A hedge takes spare capacity only.
+        // Hedges use spare capacity only.
         if self.queue.waiting() > 0 || !self.pool.has_credit(&service) {
             return;
         }
--- a/crates/mastknot_core/src/dispatch/job_order.rs
+++ b/crates/mastknot_core/src/dispatch/job_order.rs
@@ -1,4 +1,4 @@
-/// In which order one customer's submissions get their tasks started.
+/// Order in which the submissions of one customer get their tasks started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum JobOrder {
     /// The submission with the fewest tasks left to start goes first.
@@ -6,6 +6,6 @@
     ShortestRemaining,
     /// The submission with the earliest deadline goes first.
     EarliestDeadline,
-    /// The submission that came first goes first.
+    /// The submission that arrived first goes first.
     FirstCome,
 }
--- a/crates/mastknot_core/src/dispatch/mod.rs
+++ b/crates/mastknot_core/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Queues, fairness, placement and early refusal at one entry.
+//! Queueing, fairness, placement and early refusal at one entry.
 
 mod active_submission;
 mod asking;
--- a/crates/mastknot_core/src/dispatch/peer_want.rs
+++ b/crates/mastknot_core/src/dispatch/peer_want.rs
@@ -3,17 +3,18 @@
 use crate::message::Demand;
 use crate::types::Moment;
 
-/// How long a peer's stated want counts; a peer that still waits states it again.
+/// Time for which a request of a peer is valid. A peer whose tasks still wait repeats its request
+/// earlier.
 const LIFETIME: Duration = Duration::from_millis(600);
-/// A want this old that was not met is met although it is not the more urgent one, as long as
-/// the peer runs less than this entry.
+/// Time after which an unmet request takes precedence although it is not the more urgent one, as
+/// long as the peer runs fewer tasks than this entry.
 const PATIENCE: Duration = Duration::from_millis(500);
 
-/// What a peer wants.
+/// Latest request of a peer for credits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerWant {
     pub(crate) demand: Demand,
-    /// Tasks that the peer ran when it stated its want, and those lent to it since.
+    /// Number of tasks that the peer ran at its latest request, plus the credits lent to it since.
     running: u32,
     since: Moment,
     stated_at: Moment,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The peer states its want again.
+    /// Updates the request after the peer has repeated it.
     pub(crate) fn state_again(&mut self, now: Moment, demand: Demand, running: u32) {
         if !self.counts(now) {
             self.since = now;
@@ -39,13 +40,14 @@
         self.stated_at = now;
     }
 
-    /// Whether the want still counts.
+    /// Returns whether the request is still valid and unmet.
     pub(crate) fn counts(&self, now: Moment) -> bool {
         self.demand.wanted > 0 && now.since(self.stated_at) < LIFETIME
     }
 
-    /// Whether the peer goes before this entry, whose first submission has `own` as its order
-    /// key (none if nothing waits) and which runs `running` tasks.
+    /// Returns whether the peer's request takes precedence over this entry's own tasks. `own` is
+    /// the order key of this entry's first submission (`None` if no task waits) and `running` the
+    /// number of tasks that this entry runs.
     pub(crate) fn goes_first(&self, now: Moment, own: Option<u64>, running: u32) -> bool {
         let Some(own) = own else {
             return true;
@@ -55,7 +57,7 @@
         is_more_urgent || has_waited
     }
 
-    /// One credit was lent.
+    /// Records that one credit was lent to the peer.
     pub(crate) fn note_lent(&mut self) {
         self.demand.wanted -= 1;
         self.running += 1;
--- a/crates/mastknot_core/src/dispatch/pooled_side.rs
+++ b/crates/mastknot_core/src/dispatch/pooled_side.rs
@@ -4,31 +4,34 @@
 use crate::message::{Credit, CreditSeq, SideHello};
 use crate::types::{Incarnation, Moment};
 
-/// The weight of a new measurement of a side's slowness.
+/// Weight of a new run time in the moving mean of a side's slowness. The mean of errors uses twice
+/// this weight.
 const NEW_SHARE: f64 = 0.05;
-/// Below this multiple of the usual time a side does not count as slow.
+/// Slowness below which a side does not count as slow.
 const SLOW_FROM: f64 = 1.5;
-/// The first pause after a refusal.
+/// Length of the first pause after a refusal.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause after refusals.
+/// Maximum length of a pause after refusals.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// The share of error answers from which a side is paused.
+/// Rate of error answers above which a side is paused.
 const ERROR_SHARE: f64 = 0.5;
-/// The part of a credit's life that an entry leaves unused, for clock drift and the trip.
+/// Percentage of a credit's lifetime that an entry leaves unused, as a margin for clock drift and
+/// the transit time of the start.
 const LIFE_MARGIN_PERCENT: u32 = 10;
-/// What an away hall adds to the score: as much as being slow by one step.
+/// Added to the placement score of a side in another hall. One step of slowness adds twice as much.
 const AWAY_SCORE: u32 = 1;
 
-/// A credit in the pool.
+/// A credit that this entry holds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldCredit {
     pub(crate) seq: CreditSeq,
     pub(crate) expires: Moment,
-    /// Lent by a peer: the side counts its life by what it hears from that peer.
+    /// Whether a peer lent the credit. Only messages from that peer to the side extend the lifetime
+    /// of such a credit.
     pub(crate) is_borrowed: bool,
 }
 
-/// What an entry knows of one side, with the credits it holds there.
+/// State of one side as known to an entry, with the credits of the side that the entry holds.
 #[derive(Clone, Debug)]
 pub(crate) struct PooledSide {
     pub(crate) hello: SideHello,
@@ -37,11 +40,12 @@
     pub(crate) is_leaving: bool,
     pub(crate) is_away: bool,
     pub(crate) told_at: Option<Moment>,
-    /// Slots that are neither taken nor granted, as the side last said.
+    /// Number of slots that are neither in use nor granted, as last reported by the side.
     pub(crate) resting: u16,
-    /// How long credits of the side live, less the margin.
+    /// Lifetime of the side's credits, less the margin.
     usable_life: Duration,
-    /// All credits granted here live at least until then: the side has heard from this entry.
+    /// Time until which all credits granted to this entry are valid. Each message that the side
+    /// receives from this entry extends it.
     extended_until: Moment,
     slowness: f64,
     errors: f64,
@@ -72,7 +76,7 @@
         self.hello.incarnation
     }
 
-    /// Keeps a credit; returns whether it can be used.
+    /// Adds a credit and returns whether it can be used.
     pub(crate) fn keep(&mut self, now: Moment, credit: Credit, is_borrowed: bool) -> bool {
         if credit.incarnation != self.incarnation() || self.is_leaving {
             return false;
@@ -90,14 +94,14 @@
         true
     }
 
-    /// Notes that the side has received what was sent to it at `sent_at`: credits that it
-    /// granted to this entry live on from then.
+    /// Records that the side has received a message sent at `sent_at`. Credits granted to this
+    /// entry are valid for a full lifetime from that time.
     pub(crate) fn note_received(&mut self, sent_at: Moment) {
         let until = sent_at + self.usable_life;
         self.extended_until = self.extended_until.max(until);
     }
 
-    /// Until when a credit can be used.
+    /// Returns the time until which a credit can be used.
     pub(crate) fn expires(&self, credit: &HeldCredit) -> Moment {
         if credit.is_borrowed {
             return credit.expires;
@@ -105,19 +109,20 @@
         credit.expires.max(self.extended_until)
     }
 
-    /// Drops expired credits; returns how many.
+    /// Drops expired credits and returns their number.
     pub(crate) fn drop_expired(&mut self, now: Moment) -> u64 {
         let before = self.credits.len();
         let mut kept = std::mem::take(&mut self.credits);
         kept.retain(|credit| self.expires(credit) > now);
         self.credits = kept;
         let dropped = before - self.credits.len();
-        // Their slots rest at the side until someone asks for them.
+        // The slots of expired credits stay idle at the side until an entry requests them.
         self.resting += dropped as u16;
         dropped as u64
     }
 
-    /// Credits that end soon unless they are exchanged.
+    /// Returns the credits that expire within a third of the usable lifetime unless they are
+    /// exchanged.
     pub(crate) fn ending(&self, now: Moment) -> impl Iterator<Item = CreditSeq> + '_ {
         let soon = now + self.usable_life / 3;
         let ending = move |credit: &&HeldCredit| self.expires(credit) <= soon;
@@ -136,14 +141,15 @@
         self.paused_until
     }
 
-    /// Notes a refusal by the target and pauses the side, longer each time.
+    /// Records a refusal by the target and pauses the side. Each pause in a row is twice as long as
+    /// the one before, up to a maximum.
     pub(crate) fn note_refusal(&mut self, now: Moment) {
         let doubled = FIRST_PAUSE * 2_u32.pow(self.refusals_in_row.min(5));
         self.refusals_in_row += 1;
         self.paused_until = now + doubled.min(LONGEST_PAUSE);
     }
 
-    /// Notes an answer: its time against the usual time, and whether it was an error.
+    /// Records an answer. `ratio` is its run time relative to the mean run time of the service.
     pub(crate) fn note_answer(&mut self, now: Moment, ratio: f64, is_error: bool) {
         self.slowness += NEW_SHARE * (ratio - self.slowness);
         let error = if is_error { 1.0 } else { 0.0 };
@@ -159,7 +165,8 @@
         self.slowness
     }
 
-    /// The placement score: lower is better. Steps, so that noise does not reorder equals.
+    /// Returns the placement score; lower is better. The score has coarse steps, so that noise does
+    /// not reorder sides of similar speed.
     pub(crate) fn score(&self) -> u32 {
         let slow = if self.slowness < SLOW_FROM {
             0
--- a/crates/mastknot_core/src/dispatch/reports.rs
+++ b/crates/mastknot_core/src/dispatch/reports.rs
@@ -1,4 +1,4 @@
-//! What sides report of starts, and how submissions end.
+//! Reports of sides on started tasks, and the end of submissions.
 
 use std::time::Duration;
 
@@ -12,13 +12,14 @@
 };
 use crate::types::{Incarnation, Moment, NodeName, SubmissionKey, TaskId};
 
-/// Starts of one submission that sides may call "not run" before it is given up.
+/// Number of "not run" reports after which a submission is ended, in addition to one report for
+/// each of its tasks.
 const MAX_NOT_RUN: u32 = 16;
-/// The status from which a target's answer counts as an error of the target.
+/// Lowest HTTP status that counts as an error of the target.
 const ERROR_STATUS: u16 = 500;
 
 impl Dispatcher {
-    /// A task has ended on a side.
+    /// Handles the report of a side that a task has ended.
     #[allow(clippy::too_many_arguments)]
     pub fn answered(
         &mut self,
@@ -61,7 +62,7 @@
         self.pump(now, out);
     }
 
-    /// A side did not start a task.
+    /// Handles the report of a side that it did not start a task.
     #[allow(clippy::too_many_arguments)]
     pub fn not_run(
         &mut self,
@@ -157,7 +158,8 @@
         self.end(now, task.key, Verdict::Answered(answer), out);
     }
 
-    /// The start is known not to have run, so the task may be started elsewhere.
+    /// Queues a task again whose start is known not to have run, or ends the submission after too
+    /// many such reports.
     pub(super) fn attempt_not_run(
         &mut self,
         now: Moment,
@@ -221,7 +223,8 @@
         *counter += 1;
     }
 
-    /// The start may have run and its answer is lost.
+    /// Handles an attempt whose outcome is unknown because its answer is lost. Only a repeatable
+    /// request is started again.
     pub(super) fn attempt_lost(
         &mut self,
         now: Moment,
@@ -296,7 +299,7 @@
         self.end(now, key, Verdict::Answered(answer), out);
     }
 
-    /// Ends a submission: what waits is removed, what runs is stopped.
+    /// Ends a submission: removes its waiting tasks from the queue and stops its running tasks.
     pub(super) fn end(
         &mut self,
         now: Moment,
--- a/crates/mastknot_core/src/dispatch/retry_budget.rs
+++ b/crates/mastknot_core/src/dispatch/retry_budget.rs
@@ -1,12 +1,13 @@
-/// The budget unit: one retry costs this much.
+/// Cost of one retry in budget units.
 const RETRY_COST: u64 = 100;
 
-/// The most retries that can be saved up.
+/// Maximum number of retries that the budget can accumulate.
 const MAX_SAVED_RETRIES: u64 = 100;
 
-/// Allows retries and hedges as a share of recent requests.
+/// Limits retries and hedges to a share of recent first starts.
 ///
-/// Each first start pays in `percent` hundredths of a retry; each retry takes one out.
+/// Each first start adds `percent` hundredths of a retry to the budget; each retry takes one retry
+/// out.
 ///
 /// # Examples
 ///
@@ -26,7 +27,7 @@
 }
 
 impl RetryBudget {
-    /// An empty budget that grows by `percent` of the first starts.
+    /// Returns an empty budget that grows by `percent` hundredths of a retry with each first start.
     pub fn new(percent: u32) -> Self {
         Self {
             percent: u64::from(percent),
@@ -34,18 +35,18 @@
         }
     }
 
-    /// Sets the share, keeping what is saved.
+    /// Sets the percentage and keeps the accumulated budget.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = u64::from(percent);
     }
 
-    /// Pays in for one first start.
+    /// Adds the share of one first start to the budget.
     pub fn note_first_start(&mut self) {
         let most = MAX_SAVED_RETRIES * RETRY_COST;
         self.saved = most.min(self.saved + self.percent);
     }
 
-    /// Takes out one retry if there is one.
+    /// Takes one retry out of the budget. Returns false if the budget does not cover a retry.
     pub fn try_spend(&mut self) -> bool {
         if self.saved < RETRY_COST {
             return false;
--- a/crates/mastknot_core/src/dispatch/service_estimate.rs
+++ b/crates/mastknot_core/src/dispatch/service_estimate.rs
@@ -1,29 +1,29 @@
 use std::time::Duration;
 
-/// The weight of a new measurement.
+/// Weight of a new run time in the moving mean.
 const NEW_SHARE: f64 = 0.02;
 
-/// A moving mean of how long a service's tasks hold a slot.
+/// Moving mean of the time for which a task of a service occupies a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceEstimate {
     mean_micros: f64,
 }
 
 impl ServiceEstimate {
-    /// An estimate that starts at the operators' typical time.
+    /// Returns an estimate that starts at the typical time configured by the operators.
     pub fn new(typical: Duration) -> Self {
         Self {
             mean_micros: typical.as_micros() as f64,
         }
     }
 
-    /// Takes one measured run into account.
+    /// Adds one measured run time to the mean.
     pub fn record(&mut self, run: Duration) {
         let run = run.as_micros() as f64;
         self.mean_micros += NEW_SHARE * (run - self.mean_micros);
     }
 
-    /// The estimated time of one task.
+    /// Returns the estimated run time of one task.
     pub fn mean(&self) -> Duration {
         Duration::from_micros(self.mean_micros.max(1.0) as u64)
     }
--- a/crates/mastknot_core/src/dispatch/sides.rs
+++ b/crates/mastknot_core/src/dispatch/sides.rs
@@ -1,4 +1,4 @@
-//! Sides that come, leave, grant, and peers that lend.
+//! Sides that join, leave and grant credits, and peers that request and lend credits.
 
 use super::active_submission::Attempt;
 use super::peer_want::PeerWant;
@@ -7,7 +7,7 @@
 use crate::types::{Moment, NodeName, TaskId};
 
 impl Dispatcher {
-    /// A side has joined, or a new run of one.
+    /// Handles the join of a side, or of a new incarnation of a known side.
     pub fn side_joined(&mut self, now: Moment, hello: SideHello, out: &mut Vec<DispatchEffect>) {
         let name = hello.side.clone();
         self.side_left(now, &name, out);
@@ -15,7 +15,7 @@
         self.ask_for_reserve(now, &name, out);
     }
 
-    /// The link to a side is gone: what ran there has an unknown outcome.
+    /// Handles the loss of the link to a side. Attempts on the side have an unknown outcome.
     pub fn side_left(&mut self, now: Moment, side: &NodeName, out: &mut Vec<DispatchEffect>) {
         if self.pool.side(side).is_none() {
             return;
@@ -43,7 +43,8 @@
         found
     }
 
-    /// A side is leaving: its credits are dropped and it gets nothing new.
+    /// Handles the announcement that a side is leaving: drops its credits and starts no new tasks
+    /// on it.
     pub fn side_leaving(&mut self, now: Moment, side: &NodeName) {
         self.pool.update(now, side, |side| {
             side.is_leaving = true;
@@ -51,7 +52,7 @@
         });
     }
 
-    /// A side granted credits.
+    /// Handles a grant of credits by a side.
     pub fn granted(
         &mut self,
         now: Moment,
@@ -81,7 +82,7 @@
         self.counters.credits_received += kept.unwrap_or(0) as u64;
     }
 
-    /// A peer has tasks waiting and too few credits.
+    /// Handles the request of a peer that has waiting tasks and too few credits.
     pub fn peer_wants(
         &mut self,
         now: Moment,
@@ -98,17 +99,17 @@
         self.pump(now, out);
     }
 
-    /// A peer is gone, and what it wanted with it.
+    /// Forgets a lost peer and its request for credits.
     pub fn forget_peer(&mut self, peer: &NodeName) {
         self.peer_wants.remove(peer);
     }
 
-    /// A side said how many of its slots are neither taken nor granted.
+    /// Records the number of slots that a side reports as neither in use nor granted.
     pub fn note_resting(&mut self, now: Moment, side: &NodeName, resting: u16) {
         self.pool.update(now, side, |side| side.resting = resting);
     }
 
-    /// A peer lent credits.
+    /// Adds credits lent by a peer.
     pub fn borrowed(
         &mut self,
         now: Moment,
--- a/crates/mastknot_core/src/dispatch/starting.rs
+++ b/crates/mastknot_core/src/dispatch/starting.rs
@@ -1,4 +1,4 @@
-//! Spending credits on waiting tasks, here or at a peer.
+//! Use of credits for waiting tasks of this entry or of a peer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use crate::message::{CreditSeq, EntryMessage, FailReason, SideCredit, TaskOrder};
 use crate::types::{Moment, NodeName, TaskId};
 
-/// The longest time over which the peak of running tasks is remembered.
+/// Time after which a recorded peak of running tasks is replaced by the current number.
 const PEAK_WINDOW: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
-    /// Spends credits on waiting tasks, here or at a peer that has something more urgent, until
-    /// the one or the other runs out.
+    /// Spends idle credits on waiting tasks, or lends them to a peer with more urgent tasks, until
+    /// the credits or the tasks run out.
     pub(super) fn pump(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
         let mut lent: BTreeMap<NodeName, Vec<SideCredit>> = BTreeMap::new();
         while self.pool.idle() > 0 {
@@ -35,9 +35,9 @@
         }
     }
 
-    /// The peer that the next idle credit goes to, if it does not stay here.
+    /// Returns the peer to lend the next idle credit to, or `None` if the credit stays here.
     ///
-    /// While nothing waits here there is no hurry: a batch is collected first.
+    /// While no task waits here, credits are collected and lent in a batch.
     pub(super) fn peer_to_serve(&self, now: Moment, is_lending: bool) -> Option<NodeName> {
         if self.peer_wants.is_empty() {
             return None;
@@ -56,7 +56,7 @@
         may_lend.then(|| peer.clone())
     }
 
-    /// Idle credits that are not lent while nothing waits here.
+    /// Returns the number of idle credits that are not lent while no task waits here.
     pub(super) fn kept_credits(&self) -> usize {
         let all = self.running as usize + self.pool.idle();
         all * self.profile.keep_credits_percent as usize / 100
@@ -106,8 +106,9 @@
         true
     }
 
-    /// Whether nothing of a submission has started and its deadline leaves no time for a task:
-    /// it is refused, truthfully "not run", and its slot goes to one that can be done.
+    /// Returns whether no task of a submission has started and its deadline leaves no time to run
+    /// one. Such a submission is refused as "not run", and its slot goes to a submission that can
+    /// meet its deadline.
     fn is_too_late(&self, now: Moment, task: TaskId) -> bool {
         let submission = &self.active[&task.key];
         if !submission.attempts.is_empty() || submission.may_have_run {
--- a/crates/mastknot_core/src/dispatch/submissions.rs
+++ b/crates/mastknot_core/src/dispatch/submissions.rs
@@ -1,4 +1,4 @@
-//! Taking submissions into the queue, or refusing them at once.
+//! Admission of submissions to the queue, or their immediate refusal.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use crate::message::{FailReason, Refusal, RefusalReason, Submission, SubmissionKind};
 use crate::types::{Moment, NodeName, SubmissionKey};
 
-/// The shortest time to come back that a refusal names.
+/// Minimum retry delay in a refusal.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// When to come back if no target runs the service.
+/// Retry delay in milliseconds in a refusal because no target can run the task.
 pub(super) const NO_TARGET_RETRY_AFTER_MS: u32 = 1_000;
 
 impl Dispatcher {
-    /// Takes a submission into the queue, or refuses it at once.
+    /// Admits a submission to the queue, or returns the refusal.
     pub fn submit(
         &mut self,
         now: Moment,
@@ -90,7 +90,7 @@
             .map_or(definition.typical(), ServiceEstimate::mean)
     }
 
-    /// How long the last of `count` new tasks would wait for its start.
+    /// Estimates the time until the last of `count` new tasks is started.
     pub(super) fn expected_wait(
         &self,
         now: Moment,
@@ -107,7 +107,7 @@
         let slots = f64::from(self.pool.slots(service)) / f64::from(self.entries);
         let by_slots = slots / mean;
         let by_slots = by_slots.max(f64::MIN_POSITIVE);
-        // What was achieved while tasks waited is better known than what slots promise.
+        // The measured start rate is more reliable than a rate computed from slots.
         let rate = self.start_rate.per_second(now).unwrap_or(by_slots);
         Duration::try_from_secs_f64(f64::from(before_last) / rate).unwrap_or(Duration::MAX)
     }
@@ -144,7 +144,8 @@
             if is_busy && self.queue.is_over_limit(&submission.team) {
                 return later(RefusalReason::OverQuota);
             }
-            // Coming back is of no use if even an idle system could not do it in time.
+            // A retry is pointless if not even an idle system could meet the deadline, so the
+            // refusal names no retry delay.
             let slots = self.pool.slots(&submission.service).max(1);
             if run * count.div_ceil(slots) > deadline {
                 return Err(Refusal::not_run(RefusalReason::DeadlineTooClose));
@@ -154,7 +155,7 @@
         Ok(())
     }
 
-    /// Stops a submission whose answer is wanted no longer.
+    /// Stops a submission whose answer is no longer needed.
     pub fn cancel(&mut self, now: Moment, key: SubmissionKey, out: &mut Vec<DispatchEffect>) {
         self.fail(now, key, FailReason::HolderStopped, out);
         self.pump(now, out);
--- a/crates/mastknot_core/src/entry/callers.rs
+++ b/crates/mastknot_core/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: refuse, forward, accept, or ask an earlier holder first.
+//! Requests of callers: refusal, forwarding, acceptance, and queries to earlier owners of a key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,36 +12,38 @@
 use crate::submission::{Ledger, Lookup};
 use crate::types::{Moment, NodeName, Now, SubmissionKey};
 
-/// When to come back while the roster changes, in milliseconds.
+/// Retry delay in milliseconds in refusals while the roster changes.
 const ROSTER_RETRY_AFTER_MS: u32 = 500;
-/// When to come back while the ledger is full, in milliseconds.
+/// Retry delay in milliseconds in refusals while the ledger is full.
 const LEDGER_RETRY_AFTER_MS: u32 = 5_000;
 
-/// What a holder may take beyond a deadline before its answer counts as lost, in milliseconds.
+/// Time in milliseconds after a submission's deadline at which the owner's reply counts as lost.
 const HOLDER_GRACE_MS: u32 = 500;
-/// How long a fetch may wait for its holder, in milliseconds.
+/// Time in milliseconds for which a fetch waits for the owner's reply, before the grace period
+/// above is added.
 const FETCH_LIMIT_MS: u32 = 60_000;
 
-/// A request that was sent on to a peer.
+/// A request that was forwarded to a peer.
 #[derive(Clone, Debug)]
 pub(super) struct Forwarded {
     pub(super) waiter: Waiter,
     pub(super) peer: NodeName,
-    /// When the caller is told that the outcome is unknown.
+    /// Time at which the caller is informed that the outcome is unknown.
     pub(super) until: Moment,
 }
 
-/// A submission that waits for what earlier holders know of its key.
+/// A submission that waits until the earlier owners of its key have reported whether they accepted
+/// it.
 #[derive(Clone, Debug)]
 pub(super) struct Question {
     pub(super) waiter: Waiter,
     pub(super) wait: bool,
     pub(super) submission: Submission,
-    /// The earlier holder that is asked now.
+    /// Earlier owner that is being queried.
     pub(super) peer: MemberId,
-    /// When the caller is told that the outcome is unknown.
+    /// Time at which the caller is informed that the outcome is unknown.
     pub(super) until: Moment,
-    /// Those that have said that they never accepted the key.
+    /// Earlier owners that have reported that they never accepted the key.
     pub(super) cleared: Vec<MemberId>,
 }
 
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The caller's submission goes on; only the reply has nobody left to go to.
+    /// Forgets a caller that has disconnected. Its submission continues, only the reply is dropped.
     pub(super) fn caller_gone(&mut self, request: RequestId) {
         let gone = Waiter::Caller(request);
         for waiters in self.waiters.values_mut() {
@@ -84,7 +86,7 @@
         }
         match self.ledger.check_age(now.wall, submission.key) {
             Ok(()) => Ok(()),
-            // The system may have run it before it forgot the key.
+            // The system may have run the submission before it forgot the key.
             Err(RefusalReason::KeyTooOld) => Err(Refusal::unknown(RefusalReason::KeyTooOld)),
             Err(reason) => Err(Refusal::not_run(reason)),
         }
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Replies from the ledger, or joins those who wait for the answer.
+    /// Replies from the ledger, or adds the waiter to those that get the answer later.
     fn reply_known(
         &mut self,
         waiter: Waiter,
@@ -161,7 +163,8 @@
             Acceptance::Yes => self.accept(now, waiter, submission, wait, out),
             Acceptance::HeldBy(holder) => {
                 if matches!(waiter, Waiter::Peer { .. }) {
-                    // The sender's roster differs from this one; a second hop could go in circles.
+                    // The sender's roster differs from this entry's; a second hop could lead to a
+                    // forwarding loop.
                     let refusal = Refusal::unknown(RefusalReason::NoAuthority);
                     return self.refuse(
                         &waiter,
@@ -184,7 +187,8 @@
                 } else {
                     RefusalReason::NoAuthority
                 };
-                // Only a holder with authority knows that no earlier copy of this key has run.
+                // Only an owner with authority can rule out that an earlier submission of this key
+                // has run.
                 let refusal = Refusal::unknown(reason).retry_after_ms(ROSTER_RETRY_AFTER_MS);
                 self.refuse(&waiter, refusal, out);
             }
@@ -266,7 +270,8 @@
         message: impl FnOnce(u64) -> PeerMessage,
     ) {
         if !self.membership.is_connected(peer) {
-            // This copy has not run; an earlier one may have, and only the holder knows.
+            // This submission has not run, but an earlier one with the same key may have; only the
+            // owner knows.
             let refusal = Refusal::unknown(RefusalReason::HolderUnreachable);
             return self.refuse(&waiter, refusal.retry_after_ms(ROSTER_RETRY_AFTER_MS), out);
         }
@@ -314,7 +319,7 @@
         }
     }
 
-    /// A holder replied to something that was forwarded.
+    /// Handles the reply of an owner to a forwarded request.
     pub(super) fn replied(&mut self, request: u64, reply: Reply, out: &mut Vec<EntryEffect>) {
         let forwarded = self.forwards.remove(&request).map(|f| f.waiter);
         let asked = || self.questions.remove(&request).map(|q| q.waiter);
@@ -324,7 +329,7 @@
         }
     }
 
-    /// What was forwarded to a lost peer may have run there.
+    /// Fails the requests that were forwarded to a lost peer. They may have run there.
     pub(super) fn fail_forwards(&mut self, peer: &NodeName, out: &mut Vec<EntryEffect>) {
         let forwards = self.forwards.iter();
         for request in sorted(forwards.filter(|(_, forwarded)| forwarded.peer == *peer)) {
@@ -341,7 +346,7 @@
         now.monotonic + Duration::from_millis(u64::from(deadline_ms + HOLDER_GRACE_MS))
     }
 
-    /// Tells callers whose holder has said nothing for too long that the outcome is unknown.
+    /// Informs callers whose owner has not replied in time that the outcome is unknown.
     pub(super) fn give_up_late(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
         let is_late = |until: Moment| until <= now.monotonic;
         let forwards = self.forwards.iter();
@@ -363,7 +368,8 @@
 
     // ---- asking earlier holders ----
 
-    /// Asks the first earlier holder that has not cleared the key, or accepts if all have.
+    /// Queries the first earlier owner that has not cleared the key, or accepts the submission if
+    /// all have.
     fn ask_holders(
         &mut self,
         now: Now,
@@ -398,7 +404,7 @@
         self.questions.insert(request, question);
     }
 
-    /// An earlier holder said what it knows of a key.
+    /// Handles the report of an earlier owner on a key.
     pub(super) fn key_known(
         &mut self,
         now: Now,
@@ -425,7 +431,7 @@
 
     fn go_on_asking(&mut self, now: Now, question: Question, out: &mut Vec<EntryEffect>) {
         let key = question.submission.key;
-        // While the question was out, another copy may have been accepted.
+        // Another submission of the key may have been accepted while the query was open.
         let is_absent = self.ledger.find(key) == Lookup::Absent;
         match self.membership.acceptance(now, key) {
             Acceptance::Ask(holders) if is_absent => self.ask_holders(now, question, holders, out),
@@ -439,12 +445,13 @@
         }
     }
 
-    /// The roster changed: open questions were asked under the old one.
+    /// Repeats all open queries after a change of the roster, since they were made under the old
+    /// roster.
     pub(super) fn resume_questions(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
         self.restart_questions(now, |_| true, out);
     }
 
-    /// A peer was lost: questions to it get no answer.
+    /// Repeats the queries that a lost peer can no longer answer.
     pub(super) fn fail_questions(&mut self, now: Now, peer: &MemberId, out: &mut Vec<EntryEffect>) {
         let lost = peer.clone();
         self.restart_questions(now, move |question| question.peer == lost, out);
@@ -470,7 +477,7 @@
         }
     }
 
-    /// A new holder asks what this entry knows of a key that it may have held.
+    /// Answers the query of a new owner for a key that this entry may have owned earlier.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn key_asked(
         &mut self,
@@ -497,7 +504,7 @@
                 KeyStatus::Held(Reply::Pending { done, count })
             }
             Lookup::Active => {
-                // The asker's caller gets the answer when it is there.
+                // The querying entry gets the answer when the submission ends.
                 let waiter = Waiter::Peer {
                     peer: peer.clone(),
                     request,
@@ -518,7 +525,8 @@
     }
 }
 
-/// The numbers of open requests in order: a map's own order differs from run to run.
+/// Returns the ids of open requests in ascending order, because the iteration order of a `HashMap`
+/// differs between runs.
 fn sorted<'a, T: 'a>(open: impl Iterator<Item = (&'a u64, &'a T)>) -> Vec<u64> {
     let mut requests: Vec<u64> = open.map(|(request, _)| *request).collect();
     requests.sort_unstable();
--- a/crates/mastknot_core/src/entry/config_status.rs
+++ b/crates/mastknot_core/src/entry/config_status.rs
@@ -1,12 +1,12 @@
 use serde::Serialize;
 
-/// How far a configuration version is in force, as one entry sees it.
+/// Rollout status of a configuration version, as seen by one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigStatus {
-    /// The version in force on this entry.
+    /// Version in force on this entry.
     pub version: u64,
-    /// Nodes known to have at least that version in force.
+    /// Number of nodes known to have at least this version in force.
     pub nodes_in_force: u32,
-    /// Nodes in all: the entries of the roster and the connected sides.
+    /// Total number of nodes: the entries of the roster and the connected sides.
     pub nodes: u32,
 }
--- a/crates/mastknot_core/src/entry/entry_core.rs
+++ b/crates/mastknot_core/src/entry/entry_core.rs
@@ -12,16 +12,16 @@
 use crate::submission::Ledger;
 use crate::types::{Incarnation, Moment, NodeName, Now, SubmissionKey};
 
-/// Who waits for the answer to a submission.
+/// Recipient of the answer to a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Waiter {
     /// A caller of this entry.
     Caller(RequestId),
-    /// A peer that forwarded the submission.
+    /// A peer that forwarded the submission or queried its key.
     Peer { peer: NodeName, request: u64 },
 }
 
-/// What an entry knows of a connected side besides its credits.
+/// State of a connected side, apart from its credits.
 #[derive(Clone, Debug)]
 pub(super) struct SideLink {
     pub(super) incarnation: Incarnation,
@@ -29,31 +29,31 @@
     pub(super) config_sent_at: Option<Moment>,
 }
 
-/// A submission that has no answer yet, as operators see it.
+/// A submission without an answer, as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LiveSubmission {
-    /// Its key.
+    /// Key of the submission.
     pub key: String,
-    /// Tasks that have answered.
+    /// Number of answered tasks.
     pub done: u16,
-    /// Tasks in all.
+    /// Total number of tasks.
     pub count: u16,
 }
 
-/// A protection that is switched off, so that tests can show that its absence is noticed.
+/// A safety check to disable, so that tests can show that they detect its absence.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisabledCheck {
-    /// Resubmissions are not recognised.
+    /// Recognition of resubmitted keys.
     Resubmission,
-    /// Keys of earlier holders are accepted without a question.
+    /// Query to the earlier owners of a key before it is accepted.
     EarlierOwners,
 }
 
 /// The core of an entry process.
 ///
-/// It joins the roster, the ledger, the dispatcher and the configuration. All decisions of an
-/// entry are made in [`EntryCore::step`].
+/// Combines the roster, the ledger, the dispatcher and the configuration. All decisions of an entry
+/// are made in [`EntryCore::step`].
 #[derive(Clone, Debug)]
 pub struct EntryCore {
     pub(super) settings: EntrySettings,
@@ -81,7 +81,7 @@
 }
 
 impl EntryCore {
-    /// An entry that knows no peer and no side yet.
+    /// Returns an entry that knows no peers and no sides yet.
     pub fn new(settings: EntrySettings) -> Self {
         let hall = settings.me.hall.clone();
         Self {
@@ -111,55 +111,55 @@
         }
     }
 
-    /// What the entry has counted.
+    /// Returns the counters of the entry.
     pub fn counters(&self) -> &EntryCounters {
         &self.counters
     }
 
-    /// What its dispatcher has counted.
+    /// Returns the counters of the dispatcher.
     pub fn dispatch_counters(&self) -> DispatchCounters {
         self.dispatcher.counters()
     }
 
-    /// The dispatcher, to look at.
+    /// Returns the dispatcher.
     pub fn dispatcher(&self) -> &Dispatcher {
         &self.dispatcher
     }
 
-    /// The ledger, to look at.
+    /// Returns the ledger.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The membership, to look at.
+    /// Returns the membership.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Switches a protection off.
+    /// Disables a safety check.
     ///
-    /// > **Caution:** only for tests that must see the breakage caught.
+    /// > **Caution:** only for tests that verify that the missing check is detected.
     #[doc(hidden)]
     pub fn disable_check(&mut self, breakage: DisabledCheck) {
         self.breakage = Some(breakage);
     }
 
-    /// The decisions that are kept.
+    /// Returns the log of the latest decisions.
     pub fn decisions(&self) -> &DecisionLog {
         &self.decisions
     }
 
-    /// The configuration in force.
+    /// Returns the replica of the configuration.
     pub fn config(&self) -> &ConfigReplica {
         &self.config
     }
 
-    /// The sides as operators see them.
+    /// Returns the status of each side as reported to operators.
     pub fn side_status(&self, now: Moment) -> Vec<SideStatus> {
         self.dispatcher.side_status(now)
     }
 
-    /// Submissions without an answer.
+    /// Returns the submissions without an answer.
     pub fn live_submissions(&self) -> Vec<LiveSubmission> {
         let live = |key: &SubmissionKey| {
             let (done, count) = self.dispatcher.progress(*key)?;
@@ -172,7 +172,7 @@
         self.waiters.keys().filter_map(live).collect()
     }
 
-    /// How far the configuration is in force.
+    /// Returns the rollout status of the current configuration version.
     pub fn config_status(&self) -> ConfigStatus {
         let version = self.config.version();
         let sides_at = self.sides.values().filter(|s| s.config_version >= version);
@@ -188,7 +188,7 @@
         }
     }
 
-    /// When [`EntryEvent::Tick`] is due.
+    /// Returns the time at which [`EntryEvent::Tick`] is due next.
     pub fn next_tick(&self, now: Moment) -> Moment {
         let membership = self.membership.next_tick(now);
         let dispatch = self.dispatcher.next_tick(now);
@@ -199,7 +199,7 @@
             .fold(membership, Moment::min)
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting effects.
     pub fn step(&mut self, now: Now, event: EntryEvent) -> Vec<EntryEffect> {
         let mut out = Vec::new();
         match event {
@@ -254,8 +254,9 @@
         self.gossip(now, out);
     }
 
-    /// The list lags, so it is weighed with the links: a side whose link stands gets nothing new
-    /// and may end what it runs; an entry is believed dead only if it is silent as well.
+    /// Handles a VM that is missing from the platform's list. The list lags, so it does not
+    /// override a working link: a side gets no new tasks but may finish the running ones, and an
+    /// entry counts as dead only if it is silent as well.
     fn vm_gone(&mut self, now: Now, vm: &NodeName, out: &mut Vec<EntryEffect>) {
         self.dispatcher.side_leaving(now.monotonic, vm);
         self.with_membership(now, out, |m, e| m.vm_gone(now, vm, e));
@@ -397,13 +398,14 @@
 
     // ---- configuration ----
 
-    /// The definition of a service, if it exists and can be read.
+    /// Returns the definition of a service, or `None` if it does not exist or can't be parsed.
     pub(super) fn service(&self, name: &NodeName) -> Option<Service> {
         let text = self.config.get("service", name.as_str())?;
         serde_json::from_str(&text).ok()
     }
 
-    /// Puts the teams' weights and limits in force, less what peers run for them.
+    /// Applies the teams' weights and limits. The limit of a team is its quota less the tasks that
+    /// peers run for it, and at least an even share of the quota.
     pub(super) fn apply_teams(&mut self) {
         let entries = self
             .membership
--- a/crates/mastknot_core/src/entry/entry_effect.rs
+++ b/crates/mastknot_core/src/entry/entry_effect.rs
@@ -3,41 +3,41 @@
 use crate::roster::{Roster, RosterWrite};
 use crate::types::NodeName;
 
-/// What an entry's shell must do.
+/// Action that an entry core requests from its process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryEffect {
     /// Reply to a caller.
     Reply {
-        /// The caller's request.
+        /// Identifier of the caller's request.
         request: RequestId,
-        /// The reply.
+        /// Reply to send.
         reply: Reply,
     },
-    /// Send to a side.
+    /// Send a message to a side.
     ToSide {
-        /// The side.
+        /// Name of the side.
         side: NodeName,
-        /// The message.
+        /// Message to send.
         message: EntryMessage,
     },
-    /// Send to a peer.
+    /// Send a message to a peer.
     ToPeer {
-        /// The peer.
+        /// Name of the peer.
         peer: NodeName,
-        /// The message.
+        /// Message to send.
         message: PeerMessage,
     },
     /// Read the roster from the store.
     ReadRoster,
     /// Write the roster to the store.
     WriteRoster(RosterWrite),
-    /// Another roster is in force: connect to its members.
+    /// A new roster is in force: connect to its members.
     RosterAdopted(Roster),
-    /// The configuration in force has changed.
+    /// A newer configuration is in force.
     ConfigAdvanced {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
-    /// Everything is answered and handed over: the process may end.
+    /// All submissions are answered and handed over, so the process may end.
     Stopped,
 }
--- a/crates/mastknot_core/src/entry/entry_event.rs
+++ b/crates/mastknot_core/src/entry/entry_event.rs
@@ -2,104 +2,105 @@
 use crate::roster::{MemberId, Roster, WriteDecision};
 use crate::types::{Incarnation, Moment, NodeName, SubmissionKey};
 
-/// Matches a reply to a caller's request within one run of an entry.
+/// Identifier of a caller's request, unique within one incarnation of an entry. The reply carries
+/// the same identifier.
 pub type RequestId = u64;
 
-/// What a caller asks for.
+/// Request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerRequest {
-    /// Take a submission, or tell the state of the same one submitted before.
+    /// Accept a submission, or report the state of the same submission if its key is known.
     Submit {
-        /// The submission.
+        /// Submission to accept.
         submission: Submission,
-        /// Whether to reply with the final answer only.
+        /// Whether to reply only when the final answer is known.
         wait: bool,
     },
-    /// Tell the state of an earlier submission.
+    /// Report the state of an earlier submission.
     Fetch {
-        /// Its key.
+        /// Key of the submission.
         key: SubmissionKey,
-        /// Whether to reply with the final answer only.
+        /// Whether to reply only when the final answer is known.
         wait: bool,
     },
 }
 
-/// What happens to an entry.
+/// Input of an entry core.
 #[derive(Clone, Debug)]
 pub enum EntryEvent {
-    /// A caller asks.
+    /// A caller sent a request.
     FromCaller {
-        /// Matches the reply.
+        /// Identifier of the request, which the reply carries.
         request: RequestId,
-        /// What is asked.
+        /// Content of the request.
         ask: CallerRequest,
     },
-    /// A caller hung up: its submission goes on and its answer is kept.
+    /// A caller disconnected. Its submission continues, and the answer is kept.
     CallerGone {
-        /// The request.
+        /// Identifier of the caller's request.
         request: RequestId,
     },
     /// A side sent a message.
     FromSide {
-        /// The side.
+        /// Name of the side.
         side: NodeName,
-        /// The run of the side at the other end of the link.
+        /// Incarnation of the side at the other end of the link.
         incarnation: Incarnation,
-        /// The message.
+        /// Message received.
         message: SideMessage,
     },
-    /// The link to a run of a side broke.
+    /// The link to an incarnation of a side was lost.
     SideLost {
-        /// The side.
+        /// Name of the side.
         side: NodeName,
-        /// The run.
+        /// Incarnation of the side at the other end of the link.
         incarnation: Incarnation,
     },
     /// A peer sent a message.
     FromPeer {
-        /// The peer.
+        /// Identity of the peer.
         peer: MemberId,
-        /// The message.
+        /// Message received.
         message: PeerMessage,
     },
-    /// The link to a peer broke.
+    /// The link to a peer was lost.
     PeerLost {
-        /// The peer.
+        /// Identity of the peer.
         peer: MemberId,
     },
-    /// A run of a peer is proven dead.
+    /// An incarnation of a peer is proven dead.
     PeerDead {
-        /// The peer.
+        /// Identity of the peer.
         peer: MemberId,
     },
     /// The store answered a read of the roster.
     RosterRead {
-        /// When the read was sent.
+        /// Time at which the read was sent.
         sent_at: Moment,
-        /// The store's revision and the roster, none if there is none yet.
+        /// Revision of the store and the roster; `None` if the store has no roster yet.
         found: Option<(u64, Roster)>,
     },
     /// The store did not answer a read of the roster.
     RosterReadFailed,
-    /// The store decided a write of the roster.
+    /// The store answered a write of the roster.
     RosterWritten {
-        /// What it decided.
+        /// Decision of the store.
         written: WriteDecision,
     },
-    /// Configuration from the store's watch or a consistent read.
+    /// Configuration from the store, received through a watch or a consistent read.
     Config(ConfigDelta),
-    /// A VM is gone from the platform's list after having been on it.
+    /// A VM that was on the platform's list is missing from it.
     VmGone {
-        /// The name of the side or entry that it carried.
+        /// Name of the side or entry that runs on the VM.
         vm: NodeName,
     },
-    /// An operator, or the platform, wants a side to leave.
+    /// An operator or the platform requests that a side leaves.
     DrainSide {
-        /// The side.
+        /// Name of the side.
         side: NodeName,
     },
-    /// Stop by plan.
+    /// Begin the planned stop.
     Stop,
-    /// Time has passed.
+    /// Time has passed; see [`EntryCore::next_tick`](super::EntryCore::next_tick).
     Tick,
 }
--- a/crates/mastknot_core/src/entry/entry_settings.rs
+++ b/crates/mastknot_core/src/entry/entry_settings.rs
@@ -3,36 +3,36 @@
 use crate::roster::{Member, MembershipSettings};
 use crate::submission::LedgerSettings;
 
-/// Tasks that wait at one entry at most, by default.
+/// Default maximum number of tasks that wait at one entry.
 const DEFAULT_MAX_WAITING: u32 = 50_000;
-/// Decisions that are kept by default.
+/// Default maximum number of decisions in the log.
 const DEFAULT_DECISIONS: usize = 8_192;
-/// Tasks in one job at most.
+/// Default maximum number of tasks in one job.
 const DEFAULT_MAX_TASKS: u16 = 1_000;
 
-/// What an [`EntryCore`](super::EntryCore) is told at its start.
+/// Settings of an [`EntryCore`](super::EntryCore).
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// This entry.
+    /// Identity and addresses of this entry.
     pub me: Member,
-    /// The weights of the policy, until the configuration says otherwise.
+    /// Weights of the policy, used until the configuration provides a profile.
     pub profile: Profile,
-    /// The times of the single-holder protocol.
+    /// Timings of the protocol that gives each key a single owner.
     pub membership: MembershipSettings,
-    /// The bounds of the ledger.
+    /// Bounds of the ledger.
     pub ledger: LedgerSettings,
-    /// The order of a customer's submissions.
+    /// Order in which the submissions of a customer are started.
     pub job_order: JobOrder,
-    /// Tasks that wait at most.
+    /// Maximum number of waiting tasks.
     pub max_waiting: u32,
-    /// Tasks in one job at most.
+    /// Maximum number of tasks in one job.
     pub max_tasks: u16,
-    /// Decisions that are kept.
+    /// Maximum number of decisions in the log.
     pub decisions: usize,
 }
 
 impl EntrySettings {
-    /// The defaults for one entry.
+    /// Returns the default settings for one entry.
     pub fn new(me: Member) -> Self {
         Self {
             me,
@@ -52,7 +52,7 @@
         self
     }
 
-    /// Sets how many tasks may wait.
+    /// Sets the maximum number of waiting tasks.
     pub fn max_waiting(mut self, tasks: u32) -> Self {
         self.max_waiting = tasks;
         self
--- a/crates/mastknot_core/src/entry/mod.rs
+++ b/crates/mastknot_core/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! All of an entry's parts behind one `step`.
+//! The core of an entry, which combines all of its parts behind one `step`.
 
 mod callers;
 mod config_status;
--- a/crates/mastknot_core/src/entry/peers.rs
+++ b/crates/mastknot_core/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! What peers send, and what is told to them unasked.
+//! Messages from peers, and periodic updates to peers.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::roster::{MemberId, Roster};
 use crate::types::{NodeName, Now};
 
-/// How often an entry tells its peers what they need to know.
+/// Time between two periodic updates to peers.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl EntryCore {
@@ -117,7 +117,7 @@
 
     // ---- configuration ----
 
-    /// Configuration came from the store or from a peer.
+    /// Applies configuration from the store or from a peer.
     pub(super) fn config_learned(
         &mut self,
         now: Now,
@@ -129,7 +129,7 @@
         }
         let version = self.config.version();
         self.config_changed_at = now.monotonic;
-        // What was sent before is no reason to wait with what is new.
+        // A recent delivery of the old version must not delay the new version.
         for link in self.sides.values_mut() {
             link.config_sent_at = None;
         }
@@ -140,7 +140,7 @@
         self.send_config_to_sides(now, out);
     }
 
-    /// A peer said which version it has in force: it gets what it lacks.
+    /// Records the version that a peer has in force and sends the peer what it lacks.
     fn peer_config_known(&mut self, peer: &NodeName, version: u64, out: &mut Vec<EntryEffect>) {
         self.peer_versions.insert(peer.clone(), version);
         if version < self.config.version() {
@@ -152,14 +152,16 @@
 
     // ---- told unasked ----
 
-    /// Tells peers which teams use much here, and keeps lagging sides supplied.
+    /// Sends peers this entry's configuration version and the teams that are near their quota, and
+    /// sends lagging sides their configuration.
     pub(super) fn gossip(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
         if now.monotonic.since(self.gossip_at) < GOSSIP_INTERVAL {
             return;
         }
         self.gossip_at = now.monotonic;
         self.send_config_to_sides(now, out);
-        // A peer that says nothing for long is voted out, so this goes out changed or not.
+        // Peers vote out a member that is silent for too long, so this message is sent even if
+        // nothing has changed.
         self.tell_peers(&self.config_in_force(), out);
         let running = self.teams_near_quota();
         if running != self.team_use_sent {
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Teams that run here more than half of their even share of a quota: the others can't be the
-    /// reason why one is beyond it, and naming all would cost too many bytes.
+    /// Returns the teams that run at least half of their even share of the quota here. Other teams
+    /// can't be the cause of an exceeded quota, and sending all teams would take too many bytes.
     fn teams_near_quota(&self) -> Vec<(NodeName, u32)> {
         let members = self.membership.roster().map(|roster| roster.members.len());
         let entries = members.unwrap_or(1) as u64;
--- a/crates/mastknot_core/src/entry/rebuild.rs
+++ b/crates/mastknot_core/src/entry/rebuild.rs
@@ -1,4 +1,4 @@
-//! Rebuilding the answer of a lost holder from what the sides remember.
+//! Rebuilding of an answer whose owner was lost, from the results that sides remember.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,13 +11,13 @@
 };
 use crate::types::{Moment, NodeName, Now, SubmissionKey};
 
-/// How long the sides may take to say what they remember.
+/// Time for which a rebuild waits for the answers of sides.
 const PATIENCE: Duration = Duration::from_millis(500);
 
-/// A question to all sides about one submission.
+/// State of a query to all sides about one submission.
 #[derive(Clone, Debug)]
 pub(super) struct Rebuild {
-    /// The digest of the resubmission; none if only the answer was asked for.
+    /// Digest of the resubmission; `None` if only the answer was fetched.
     digest: Option<Digest>,
     waiters: Vec<Waiter>,
     found: BTreeMap<u16, RememberedTask>,
@@ -26,7 +26,8 @@
 }
 
 impl EntryCore {
-    /// An earlier holder that can't be asked may have run the submission: asks the sides.
+    /// Asks the sides for the results of a submission that an unreachable earlier owner may have
+    /// run.
     pub(super) fn rebuild(
         &mut self,
         now: Now,
@@ -56,7 +57,7 @@
         self.check_rebuild(now, key, out);
     }
 
-    /// A side said what it remembers.
+    /// Handles the report of a side on the tasks that it remembers.
     pub(super) fn remembered(
         &mut self,
         now: Now,
@@ -142,7 +143,7 @@
                 }
             }
         };
-        // The answer stands from now on, whatever turns up later.
+        // The answer is final, even if other results arrive later.
         if let Some(digest) = rebuild.digest.or(original) {
             self.ledger.accept(key, digest);
             self.ledger.finish(key, answer.clone());
@@ -159,7 +160,7 @@
     }
 }
 
-/// The results of all tasks in order, if all are known.
+/// Returns the results of all tasks in order, or `None` if any result is missing.
 fn all_results(rebuild: &Rebuild) -> Option<Vec<TaskResult>> {
     let count = rebuild.found.values().next()?.count;
     let result = |index: u16| match &rebuild.found.get(&index)?.outcome {
--- a/crates/mastknot_core/src/entry/sides.rs
+++ b/crates/mastknot_core/src/entry/sides.rs
@@ -1,4 +1,4 @@
-//! What sides send, and the configuration that is sent to them.
+//! Messages from sides, and delivery of the configuration to sides.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::message::{EntryMessage, SideHello, SideMessage};
 use crate::types::{Incarnation, Moment, NodeName, Now};
 
-/// After this time any entry sends a lagging side what it lacks, not only the responsible one.
+/// Time after which any entry sends the configuration to a lagging side, not only the entry
+/// responsible for it. It is also the minimum time between two deliveries to a side.
 const CONFIG_PATIENCE: Duration = Duration::from_secs(1);
 
 impl EntryCore {
@@ -90,7 +91,8 @@
         };
         let side = hello.side.clone();
         self.sides.insert(side.clone(), link);
-        // The configuration goes first: a task must not meet a side that lacks its service.
+        // The configuration is sent first, so that no task reaches a side that does not know its
+        // service yet.
         self.send_config(now, &side, out);
         self.with_dispatcher(now, out, |d, e| d.side_joined(now.monotonic, hello, e));
     }
@@ -116,8 +118,8 @@
 
     // ---- configuration ----
 
-    /// Sends every lagging side what it lacks: those this entry is responsible for at once,
-    /// the others when they still lag after a while.
+    /// Sends lagging sides the configuration that they lack. Sides for which this entry is
+    /// responsible get it at once; the others only if they still lag after [`CONFIG_PATIENCE`].
     pub(super) fn send_config_to_sides(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
         let version = self.config.version();
         let lagging: Vec<NodeName> = self
@@ -143,7 +145,8 @@
         is_overdue || self.is_responsible_for(side)
     }
 
-    /// Whether this entry is the one of the roster that supplies the side.
+    /// Returns whether this entry is the member of the roster that supplies the side with
+    /// configuration.
     fn is_responsible_for(&self, side: &NodeName) -> bool {
         let Some(roster) = self.membership.roster() else {
             return true;
--- a/crates/mastknot_core/src/entry/stop.rs
+++ b/crates/mastknot_core/src/entry/stop.rs
@@ -4,11 +4,11 @@
 use crate::message::{HandoverRecord, PeerMessage};
 use crate::types::Now;
 
-/// Records in one hand-over message at most.
+/// Maximum number of records in one handover message.
 const RECORDS_PER_MESSAGE: usize = 64;
 
 impl EntryCore {
-    /// Whether the entry is stopping by plan.
+    /// Returns whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping
     }
@@ -21,7 +21,7 @@
         self.with_membership(now, out, |m, e| m.leave(now, e));
     }
 
-    /// Ends the process once it is out of the roster and everyone has been answered.
+    /// Ends the planned stop once the entry has left the roster and no request is open.
     pub(super) fn check_stopped(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
         if !self.is_stopping || self.has_stopped {
             return;
@@ -39,7 +39,8 @@
         out.push(EntryEffect::Stopped);
     }
 
-    /// Sends each finished submission to its new holder and tells all peers that this was all.
+    /// Sends each finished submission to its new owner, and informs all peers that the handover is
+    /// complete.
     fn hand_over(&mut self, _now: Now, out: &mut Vec<EntryEffect>) {
         let Some(roster) = self.membership.roster().cloned() else {
             return;
--- a/crates/mastknot_core/src/submission/ledger.rs
+++ b/crates/mastknot_core/src/submission/ledger.rs
@@ -5,7 +5,7 @@
 use crate::message::{Digest, FailReason, HandoverRecord, Ran, RefusalReason, SubmissionAnswer};
 use crate::types::{SubmissionKey, WallTime};
 
-/// What the ledger says of a key.
+/// State of a key in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
     /// The key is not known.
@@ -14,7 +14,7 @@
     Active,
     /// The submission has its final answer.
     Finished(Arc<SubmissionAnswer>),
-    /// The key was used with other content.
+    /// The key was used before with different content.
     Reused,
 }
 
@@ -30,11 +30,13 @@
     state: State,
 }
 
-/// Every submission that this entry accepted, until its key is too old to come again.
+/// Record of every submission that this entry accepted. A record is kept until its key is too old
+/// to be submitted again.
 ///
-/// Bounded in bytes and number. When the answers take too many bytes, the oldest finished answer
-/// is replaced by "failed: answer evicted, it ran"; the key itself stays. When the number is at
-/// its bound, new keys are refused: forgetting a young key could start it twice.
+/// The ledger is bounded in bytes and in number. When the answers take too many bytes, the oldest
+/// finished answer is replaced by a failure with [`FailReason::AnswerEvicted`], which states that
+/// the submission ran; the key is kept. When the number of records reaches its bound, new keys are
+/// refused, because forgetting a recent key could let its submission start twice.
 ///
 /// # Examples
 ///
@@ -59,7 +61,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Returns an empty ledger.
     pub fn new(settings: LedgerSettings) -> Self {
         Self {
             settings,
@@ -71,32 +73,33 @@
         }
     }
 
-    /// How many submissions are kept.
+    /// Returns the number of submissions in the ledger.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no submission is kept.
+    /// Returns whether the ledger is empty.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes of answers that are kept.
+    /// Returns the size of all answers in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Answers that were dropped to keep the bound.
+    /// Returns the number of answers that were evicted to stay within the bound.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// The bounds.
+    /// Returns the bounds.
     pub fn settings(&self) -> &LedgerSettings {
         &self.settings
     }
 
-    /// Whether a key is neither too old nor from the future, by this process's clock.
+    /// Checks by the clock of this process that a key is neither too old nor from the future.
+    /// Returns the reason to refuse the key otherwise.
     pub fn check_age(&self, wall: WallTime, key: SubmissionKey) -> Result<(), RefusalReason> {
         if key.made_at() > wall.plus(self.settings.max_clock_skew) {
             return Err(RefusalReason::KeyFromFuture);
@@ -107,12 +110,12 @@
         Ok(())
     }
 
-    /// Whether one more submission can be kept.
+    /// Returns whether one more submission can be recorded.
     pub fn has_room(&self) -> bool {
         self.records.len() < self.settings.max_records
     }
 
-    /// What is known of a key with this content.
+    /// Returns the state of a key, or [`Lookup::Reused`] if the content differs.
     pub fn look_up(&self, key: SubmissionKey, digest: Digest) -> Lookup {
         match self.records.get(&key) {
             Some(record) if record.digest != digest => Lookup::Reused,
@@ -120,7 +123,7 @@
         }
     }
 
-    /// What is known of a key, whatever its content.
+    /// Returns the state of a key regardless of its content.
     pub fn find(&self, key: SubmissionKey) -> Lookup {
         match self.records.get(&key).map(|record| &record.state) {
             None => Lookup::Absent,
@@ -137,7 +140,7 @@
         self.by_age.insert(key);
     }
 
-    /// Forgets an accepted key of which nothing has run.
+    /// Forgets an accepted key of which no task has run.
     pub fn withdraw(&mut self, key: SubmissionKey) {
         let is_active = self
             .records
@@ -148,7 +151,7 @@
         self.by_age.remove(&key);
     }
 
-    /// Keeps the final answer to an accepted key.
+    /// Stores and returns the final answer to an accepted key.
     pub fn finish(
         &mut self,
         key: SubmissionKey,
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Forgets finished submissions whose keys are too old to be accepted anywhere.
+    /// Forgets finished submissions whose keys are too old to be accepted by any entry.
     pub fn trim(&mut self, wall: WallTime) {
         let kept = self.settings.max_key_age + 2 * self.settings.max_clock_skew;
         let oldest = wall.minus(kept);
@@ -204,7 +207,7 @@
         }
     }
 
-    /// All finished submissions, for handing them over at a planned stop.
+    /// Returns all finished submissions, for the handover at a planned stop.
     pub fn finished_records(&self) -> Vec<HandoverRecord> {
         let record = |key: &SubmissionKey| {
             let record = self.records.get(key)?;
@@ -220,7 +223,7 @@
         self.by_age.iter().filter_map(record).collect()
     }
 
-    /// Keeps a submission that another holder finished.
+    /// Adds a submission that was finished by another owner.
     pub fn take_over(&mut self, record: HandoverRecord) {
         if self.records.contains_key(&record.key) {
             return;
@@ -230,7 +233,7 @@
     }
 }
 
-/// The bytes of an answer, with a fixed part for each result.
+/// Returns the size of an answer in bytes, including a fixed overhead for each result.
 fn answer_bytes(answer: &SubmissionAnswer) -> usize {
     const FIXED_BYTES: usize = 48;
     match answer {
--- a/crates/mastknot_core/src/submission/ledger_settings.rs
+++ b/crates/mastknot_core/src/submission/ledger_settings.rs
@@ -1,15 +1,15 @@
 use std::time::Duration;
 
-/// The bounds of a [`Ledger`](super::Ledger).
+/// Bounds of a [`Ledger`](super::Ledger).
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerSettings {
-    /// Keys older than this are refused, so what is older may be forgotten.
+    /// Maximum age of a key. Older keys are refused, so their records may be forgotten.
     pub max_key_age: Duration,
-    /// The most that two clocks differ, callers' clocks included.
+    /// Maximum difference between any two clocks, including those of callers.
     pub max_clock_skew: Duration,
-    /// Bytes of answers that are kept.
+    /// Maximum size of all answers in bytes.
     pub max_answer_bytes: usize,
-    /// Submissions that are kept, answers or not.
+    /// Maximum number of submissions, with and without an answer.
     pub max_records: usize,
 }
 
--- a/crates/mastknot_core/src/submission/mod.rs
+++ b/crates/mastknot_core/src/submission/mod.rs
@@ -1,4 +1,4 @@
-//! The ledger of submissions: what keeps one from starting twice.
+//! The ledger of submissions, which prevents a submission from starting twice.
 
 mod ledger;
 mod ledger_settings;
