--- a/crates/mastknot_core/src/admission/start_rate.rs
+++ b/crates/mastknot_core/src/admission/start_rate.rs
@@ -5,7 +5,7 @@
 /// Length of one counting window.
 const WINDOW: Duration = Duration::from_millis(500);
 /// Minimum number of starts in a window from which a rate is computed.
-const FEWEST_STARTS: u32 = 8;
+const MIN_STARTS: u32 = 8;
 
 /// Number of waiting tasks that an entry starts per second while it has a queue.
 ///
@@ -40,7 +40,7 @@
         let length = now.since(self.window_from);
         if length >= WINDOW {
             let is_one_busy_period = length < WINDOW * 2;
-            if is_one_busy_period && self.in_window >= FEWEST_STARTS {
+            if is_one_busy_period && self.in_window >= MIN_STARTS {
                 let rate = f64::from(self.in_window) / length.as_secs_f64();
                 self.last = Some((now, rate));
             }
--- a/crates/mastknot_core/src/dispatch/active_submission.rs
+++ b/crates/mastknot_core/src/dispatch/active_submission.rs
@@ -11,7 +11,9 @@
     /// Incarnation of the side on whose link the start was sent.
     pub(crate) incarnation: Incarnation,
     pub(crate) credit: CreditSeq,
+    /// Time at which the start was sent.
     pub(crate) at: Moment,
+    /// Time from which the task waited in the queue.
     pub(crate) queued_at: Moment,
 }
 
@@ -26,6 +28,7 @@
     pub(crate) is_request: bool,
     pub(crate) payloads: Vec<Payload>,
     pub(crate) results: Vec<Option<TaskResult>>,
+    /// Number of tasks without a result.
     pub(crate) missing: u16,
     pub(crate) accepted_at: Moment,
     pub(crate) deadline: Moment,
@@ -51,8 +54,8 @@
         matches: impl Fn(&Attempt) -> bool,
     ) -> Option<Attempt> {
         let attempts = self.attempts.get_mut(&index)?;
-        let place = attempts.iter().position(matches)?;
-        let attempt = attempts.remove(place);
+        let found = attempts.iter().position(matches)?;
+        let attempt = attempts.remove(found);
         if attempts.is_empty() {
             self.attempts.remove(&index);
         }
--- a/crates/mastknot_core/src/dispatch/credit_pool.rs
+++ b/crates/mastknot_core/src/dispatch/credit_pool.rs
@@ -22,6 +22,7 @@
     pub idle: u32,
 }
 
+/// Score of a side, its number of idle credits (the highest first) and its index in the pool.
 type ReadyKey = (u32, Reverse<usize>, usize);
 
 /// All credits of one entry, with the sides ordered by placement score.
@@ -29,7 +30,9 @@
 pub(crate) struct CreditPool {
     hall: Hall,
     sides: IndexMap<NodeName, PooledSide>,
+    /// Sides that have idle credits and are not paused, the best first.
     ready: BTreeSet<ReadyKey>,
+    /// Key in `ready` by the index of the side.
     ready_key: HashMap<usize, ReadyKey>,
     idle: usize,
 }
@@ -97,14 +100,15 @@
         }
     }
 
-    pub(crate) fn join(&mut self, now: Moment, hello: SideHello) {
-        let is_away = hello.hall != self.hall;
+    pub(crate) fn add_side(&mut self, now: Moment, hello: SideHello) {
+        let is_in_other_hall = hello.hall != self.hall;
         let name = hello.side.clone();
-        self.leave(now, &name);
-        self.sides.insert(name, PooledSide::new(hello, is_away));
+        self.remove_side(now, &name);
+        self.sides
+            .insert(name, PooledSide::new(hello, is_in_other_hall));
     }
 
-    pub(crate) fn leave(&mut self, now: Moment, name: &NodeName) {
+    pub(crate) fn remove_side(&mut self, now: Moment, name: &NodeName) {
         let Some((index, _, side)) = self.sides.swap_remove_full(name) else {
             return;
         };
@@ -186,10 +190,10 @@
     pub(crate) fn drop_expired(&mut self, now: Moment) -> u64 {
         let mut dropped = 0;
         for index in 0..self.sides.len() {
-            let lapsed = self.sides[index].drop_expired(now);
-            if lapsed > 0 {
-                dropped += lapsed;
-                self.idle -= lapsed as usize;
+            let expired = self.sides[index].drop_expired(now);
+            if expired > 0 {
+                dropped += expired;
+                self.idle -= expired as usize;
                 self.reorder(now, index);
             }
         }
--- a/crates/mastknot_core/src/dispatch/dispatch_counters.rs
+++ b/crates/mastknot_core/src/dispatch/dispatch_counters.rs
@@ -41,6 +41,6 @@
     pub peer_asks: u64,
     /// Stop messages sent to sides.
     pub stops: u64,
-    /// Submissions that were ended, most of them at their deadline, before any task was started.
+    /// Submissions that ended before any of their tasks ran, for example at their deadline.
     pub expired_in_queue: u64,
 }
--- a/crates/mastknot_core/src/dispatch/dispatch_effect.rs
+++ b/crates/mastknot_core/src/dispatch/dispatch_effect.rs
@@ -4,7 +4,7 @@
 
 /// How a submission ended at the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SubmissionOutcome {
     /// The submission has its final answer.
     Answered(SubmissionAnswer),
     /// The submission was refused after it had been queued, and none of its tasks ran.
@@ -22,7 +22,7 @@
         message: EntryMessage,
     },
     /// Request credits from every peer.
-    AskPeers {
+    RequestCredits {
         /// Number of credits that can be used at once, and the urgency of the tasks that need them.
         demand: Demand,
         /// Number of tasks that this entry runs.
@@ -40,8 +40,8 @@
         /// Key of the submission.
         key: SubmissionKey,
         /// How the submission ended.
-        verdict: Verdict,
+        outcome: SubmissionOutcome,
     },
     /// Record a decision, so that operators can look up later why it was made.
-    Decided(Decision),
+    RecordDecision(Decision),
 }
--- a/crates/mastknot_core/src/dispatch/dispatcher.rs
+++ b/crates/mastknot_core/src/dispatch/dispatcher.rs
@@ -5,7 +5,7 @@
 
 use super::active_submission::ActiveSubmission;
 use super::credit_pool::CreditPool;
-use super::peer_want::PeerWant;
+use super::peer_request::PeerRequest;
 use super::pooled_side::PooledSide;
 use super::{DispatchCounters, DispatchEffect, FairQueue, JobOrder, RetryBudget, ServiceEstimate};
 use crate::admission::StartRate;
@@ -64,10 +64,10 @@
     pub(super) peak_running: u32,
     pub(super) peak_at: Moment,
     pub(super) renewed_at: Moment,
-    pub(super) asked_sides_at: Option<Moment>,
+    pub(super) sides_asked_at: Option<Moment>,
     /// Time of the last request for credits to peers, and the submission that it was for.
-    pub(super) asked_peers: Option<(Moment, Option<SubmissionKey>)>,
-    pub(super) peer_wants: BTreeMap<NodeName, PeerWant>,
+    pub(super) last_peer_request: Option<(Moment, Option<SubmissionKey>)>,
+    pub(super) peer_requests: BTreeMap<NodeName, PeerRequest>,
 }
 
 impl Dispatcher {
@@ -92,9 +92,9 @@
             peak_running: 0,
             peak_at: Moment::default(),
             renewed_at: Moment::default(),
-            asked_sides_at: None,
-            asked_peers: None,
-            peer_wants: BTreeMap::new(),
+            sides_asked_at: None,
+            last_peer_request: None,
+            peer_requests: BTreeMap::new(),
         }
     }
 
@@ -184,10 +184,10 @@
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let hedge = self.hedges.first().map(|(at, _)| *at);
         let renew = (self.pool.idle() > 0).then(|| self.renewed_at + RENEW_INTERVAL);
-        let ask = (self.queue.waiting() > 0).then(|| now + self.ask_interval());
+        let next_request = (self.queue.waiting() > 0).then(|| now + self.ask_interval());
         let paused = self.pool.sides().map(|(_, side)| side.paused_until());
         let resume = paused.filter(|until| *until > now).min();
-        [deadline, hedge, renew, ask, resume]
+        [deadline, hedge, renew, next_request, resume]
             .into_iter()
             .flatten()
             .min()
@@ -214,7 +214,7 @@
         if now.since(self.renewed_at) >= RENEW_INTERVAL {
             self.renew(now, out);
         }
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 }
 
--- a/crates/mastknot_core/src/dispatch/fair_level.rs
+++ b/crates/mastknot_core/src/dispatch/fair_level.rs
@@ -5,9 +5,9 @@
 /// Position of one competitor on one level. On the upper level teams compete, on the lower level
 /// the customers of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Standing {
+pub(crate) struct Position {
     /// Whether the competitor is at its limit and goes only if no competitor below its limit can.
-    pub(crate) is_over: bool,
+    pub(crate) is_over_limit: bool,
     /// Order key of the competitor's first submission; lower goes first.
     pub(crate) head: u64,
     /// Work taken so far in microseconds; for teams it is divided by the weight.
@@ -21,21 +21,23 @@
 /// with an unlimited slack it is ordered by head alone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairLevel {
-    standings: BTreeMap<NodeName, Standing>,
+    positions: BTreeMap<NodeName, Position>,
     by_head: BTreeSet<(bool, u64, NodeName)>,
     by_taken: BTreeSet<(u64, NodeName)>,
 }
 
 impl FairLevel {
     /// Sets the position of a competitor; `None` removes the competitor.
-    pub(crate) fn set(&mut self, name: &NodeName, standing: Option<Standing>) {
-        if let Some(old) = self.standings.remove(name) {
-            self.by_head.remove(&(old.is_over, old.head, name.clone()));
+    pub(crate) fn set(&mut self, name: &NodeName, position: Option<Position>) {
+        if let Some(old) = self.positions.remove(name) {
+            self.by_head
+                .remove(&(old.is_over_limit, old.head, name.clone()));
             self.by_taken.remove(&(old.taken, name.clone()));
         }
-        if let Some(new) = standing {
-            self.standings.insert(name.clone(), new);
-            self.by_head.insert((new.is_over, new.head, name.clone()));
+        if let Some(new) = position {
+            self.positions.insert(name.clone(), new);
+            self.by_head
+                .insert((new.is_over_limit, new.head, name.clone()));
             self.by_taken.insert((new.taken, name.clone()));
         }
     }
@@ -48,15 +50,18 @@
     /// Returns the competitors in the order in which they may start a task.
     pub(crate) fn order(&self, slack: u64) -> impl Iterator<Item = &NodeName> {
         let least = self.least_taken().unwrap_or(0);
-        let is_near =
-            move |name: &NodeName| self.standings[name].taken <= least.saturating_add(slack);
-        let near = self
+        let is_within_slack =
+            move |name: &NodeName| self.positions[name].taken <= least.saturating_add(slack);
+        let within_slack = self
             .by_head
             .iter()
-            .filter(move |(_, _, name)| is_near(name));
-        let far = self.by_taken.iter().filter(move |(_, name)| !is_near(name));
-        let near = near.map(|(_, _, name)| name);
-        near.chain(far.map(|(_, name)| name))
+            .filter(move |(_, _, name)| is_within_slack(name));
+        let beyond_slack = self
+            .by_taken
+            .iter()
+            .filter(move |(_, name)| !is_within_slack(name));
+        let within_slack = within_slack.map(|(_, _, name)| name);
+        within_slack.chain(beyond_slack.map(|(_, name)| name))
     }
 
     /// Returns the lowest head on the level.
@@ -66,6 +71,6 @@
 
     /// Returns the number of competitors with waiting tasks.
     pub(crate) fn len(&self) -> usize {
-        self.standings.len()
+        self.positions.len()
     }
 }
--- a/crates/mastknot_core/src/dispatch/fair_queue.rs
+++ b/crates/mastknot_core/src/dispatch/fair_queue.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use super::JobOrder;
-use super::fair_level::{FairLevel, Standing};
+use super::fair_level::{FairLevel, Position};
 use crate::types::{Moment, NodeName, SubmissionKey, TaskId};
 
 /// A task taken from the queue.
@@ -17,7 +17,7 @@
 
 /// A submission to add to the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NewWork {
+pub struct NewSubmission {
     /// Team of the submission.
     pub team: NodeName,
     /// Customer of the team.
@@ -35,8 +35,10 @@
 #[derive(Clone, Debug)]
 struct QueuedSubmission {
     service: NodeName,
+    /// Order key by which the customer's submissions are sorted; lower goes first.
     order: u64,
     since: Moment,
+    /// Indexes of the tasks that wait.
     indexes: VecDeque<u16>,
 }
 
@@ -85,10 +87,10 @@
         count
     }
 
-    fn standing(&self) -> Option<Standing> {
+    fn position(&self) -> Option<Position> {
         let (head, _) = self.order.first()?;
-        Some(Standing {
-            is_over: false,
+        Some(Position {
+            is_over_limit: false,
             head: *head,
             taken: self.taken,
         })
@@ -108,25 +110,29 @@
 }
 
 impl TeamQueue {
-    fn is_over(&self) -> bool {
+    fn is_over_limit(&self) -> bool {
         self.running >= self.limit
     }
 
-    fn standing(&self) -> Option<Standing> {
+    fn position(&self) -> Option<Position> {
         let head = self.level.first_head()?;
-        Some(Standing {
-            is_over: self.is_over(),
+        Some(Position {
+            is_over_limit: self.is_over_limit(),
             head,
             taken: self.taken,
         })
     }
 
     /// Changes a customer's queue and updates the customer's position on the level.
-    fn touch<R>(&mut self, customer: &NodeName, change: impl FnOnce(&mut CustomerQueue) -> R) -> R {
+    fn update_customer<R>(
+        &mut self,
+        customer: &NodeName,
+        change: impl FnOnce(&mut CustomerQueue) -> R,
+    ) -> R {
         let queue = self.customers.entry(customer.clone()).or_default();
         let result = change(queue);
-        let standing = queue.standing();
-        self.level.set(customer, standing);
+        let position = queue.position();
+        self.level.set(customer, position);
         result
     }
 }
@@ -164,12 +170,13 @@
     slack: u64,
     teams: HashMap<NodeName, TeamQueue>,
     level: FairLevel,
-    place: HashMap<SubmissionKey, (NodeName, NodeName)>,
+    /// Team and customer of each submission that has waiting tasks.
+    locations: HashMap<SubmissionKey, (NodeName, NodeName)>,
     arrivals: u64,
     waiting: u32,
     /// Virtual time of the queue: the taken work of the teams served last. A team that starts to
     /// wait begins with at least this value, so idle time gives it no credit.
-    base: u64,
+    virtual_time: u64,
 }
 
 impl FairQueue {
@@ -181,10 +188,10 @@
             slack: 0,
             teams: HashMap::new(),
             level: FairLevel::default(),
-            place: HashMap::new(),
+            locations: HashMap::new(),
             arrivals: 0,
             waiting: 0,
-            base: 0,
+            virtual_time: 0,
         }
     }
 
@@ -224,8 +231,8 @@
         let Some(queue) = self.teams.get(team) else {
             return 0;
         };
-        let rivals = self.teams.values().filter(|other| other.waiting > 0);
-        let weights: u64 = rivals.map(|other| other.weight).sum();
+        let competitors = self.teams.values().filter(|other| other.waiting > 0);
+        let weights: u64 = competitors.map(|other| other.weight).sum();
         let team_share = weights.max(queue.weight) / queue.weight.max(1);
         let customers = queue.level.len();
         let own = queue.customers.get(customer).map_or(0, |c| c.waiting);
@@ -236,15 +243,15 @@
 
     /// Sets a team's weight and the number of tasks that it may run here while other teams wait.
     pub fn set_team(&mut self, team: &NodeName, weight: u32, limit: u32) {
-        self.touch_team(team, |queue| {
+        self.update_team(team, |queue| {
             queue.weight = u64::from(weight.max(1));
             queue.limit = limit;
         });
     }
 
     /// Adds a submission with the task indexes `0..count`.
-    pub fn push(&mut self, now: Moment, work: NewWork) {
-        let NewWork {
+    pub fn push(&mut self, now: Moment, work: NewSubmission) {
+        let NewSubmission {
             team,
             customer,
             service,
@@ -264,44 +271,48 @@
             since: now,
             indexes: (0..count).collect(),
         };
-        self.place.insert(key, (team.clone(), customer.clone()));
+        self.locations.insert(key, (team.clone(), customer.clone()));
         self.waiting += u32::from(count);
-        let base = self.base;
-        self.touch_team(&team, |queue| {
+        let virtual_time = self.virtual_time;
+        self.update_team(&team, |queue| {
             if queue.waiting == 0 {
-                queue.taken = queue.taken.max(base);
+                queue.taken = queue.taken.max(virtual_time);
             }
             queue.waiting += u32::from(count);
             let least = queue.level.least_taken().unwrap_or(0);
-            queue.touch(&customer, |owner| {
-                if owner.waiting == 0 {
-                    owner.taken = owner.taken.max(least);
+            queue.update_customer(&customer, |customer_queue| {
+                if customer_queue.waiting == 0 {
+                    customer_queue.taken = customer_queue.taken.max(least);
                 }
-                owner.waiting += u32::from(count);
-                owner.order.insert((order, key));
-                owner.submissions.insert(key, submission);
+                customer_queue.waiting += u32::from(count);
+                customer_queue.order.insert((order, key));
+                customer_queue.submissions.insert(key, submission);
             });
         });
     }
 
-    /// Returns a task that did not run to the queue. It goes to the front of its submission, which
-    /// keeps its place if other tasks of it wait and goes first otherwise.
+    /// Puts a task that did not run back into the queue. It goes to the front of its submission.
+    /// The submission keeps its place if other tasks of it wait; otherwise it goes first.
     pub fn put_back(&mut self, team: &NodeName, customer: &NodeName, queued: QueuedTask) {
         let key = queued.task.key;
         self.waiting += 1;
-        self.place.insert(key, (team.clone(), customer.clone()));
-        self.touch_team(team, |queue| {
+        self.locations.insert(key, (team.clone(), customer.clone()));
+        self.update_team(team, |queue| {
             queue.waiting += 1;
-            queue.touch(customer, |owner| {
-                owner.waiting += 1;
-                let submission = owner.submissions.entry(key).or_insert(QueuedSubmission {
-                    service: queued.service,
-                    order: 0,
-                    since: queued.since,
-                    indexes: VecDeque::new(),
-                });
+            queue.update_customer(customer, |customer_queue| {
+                customer_queue.waiting += 1;
+                let submission =
+                    customer_queue
+                        .submissions
+                        .entry(key)
+                        .or_insert(QueuedSubmission {
+                            service: queued.service,
+                            order: 0,
+                            since: queued.since,
+                            indexes: VecDeque::new(),
+                        });
                 submission.indexes.push_front(queued.task.index);
-                owner.order.insert((submission.order, key));
+                customer_queue.order.insert((submission.order, key));
             });
         });
     }
@@ -316,21 +327,21 @@
         let (team, customer, key) = self.find(&can_start)?;
         let by_remaining = self.job_order == JobOrder::ShortestRemaining;
         self.waiting -= 1;
-        let (task, taken, is_empty) = self.touch_team(&team, |queue| {
+        let (task, taken, is_empty) = self.update_team(&team, |queue| {
             queue.waiting -= 1;
             queue.running += 1;
             queue.taken += cost_micros / queue.weight;
-            let (task, is_empty) = queue.touch(&customer, |owner| {
-                owner.taken += cost_micros;
-                owner.take(key, by_remaining)
+            let (task, is_empty) = queue.update_customer(&customer, |customer_queue| {
+                customer_queue.taken += cost_micros;
+                customer_queue.take(key, by_remaining)
             });
             (task, queue.taken, is_empty)
         });
-        self.base = self
-            .base
+        self.virtual_time = self
+            .virtual_time
             .max(taken.saturating_sub(cost_micros + self.slack));
         if is_empty {
-            self.place.remove(&key);
+            self.locations.remove(&key);
         }
         Some(task)
     }
@@ -342,11 +353,11 @@
         for team in self.level.order(self.slack) {
             let queue = &self.teams[team];
             for customer in queue.level.order(self.slack) {
-                let owner = &queue.customers[customer];
-                let next = owner
+                let customer_queue = &queue.customers[customer];
+                let next = customer_queue
                     .order
                     .iter()
-                    .find(|(_, key)| can_start(&owner.submissions[key].service));
+                    .find(|(_, key)| can_start(&customer_queue.submissions[key].service));
                 if let Some((_, key)) = next {
                     return Some((team.clone(), customer.clone(), *key));
                 }
@@ -367,32 +378,33 @@
 
     /// Returns whether a team runs as many tasks as it may while other teams wait.
     pub fn is_over_limit(&self, team: &NodeName) -> bool {
-        self.teams.get(team).is_some_and(TeamQueue::is_over)
+        self.teams.get(team).is_some_and(TeamQueue::is_over_limit)
     }
 
     /// Records that a task of a team was started without being taken from the queue.
-    pub fn note_extra_start(&mut self, team: &NodeName) {
-        self.touch_team(team, |queue| queue.running += 1);
+    pub fn record_extra_start(&mut self, team: &NodeName) {
+        self.update_team(team, |queue| queue.running += 1);
     }
 
     /// Records that a running task of a team has ended.
-    pub fn note_ended(&mut self, team: &NodeName) {
-        self.touch_team(team, |queue| {
+    pub fn record_ended(&mut self, team: &NodeName) {
+        self.update_team(team, |queue| {
             queue.running = queue.running.saturating_sub(1);
         });
         let is_idle = |queue: &TeamQueue| queue.running == 0 && queue.waiting == 0;
         if self.teams.get(team).is_some_and(is_idle) {
-            self.touch_team(team, |queue| queue.customers.clear());
+            self.update_team(team, |queue| queue.customers.clear());
         }
     }
 
     /// Removes the waiting tasks of a submission and returns their number.
     pub fn remove(&mut self, key: SubmissionKey) -> u32 {
-        let Some((team, customer)) = self.place.remove(&key) else {
+        let Some((team, customer)) = self.locations.remove(&key) else {
             return 0;
         };
-        let removed = self.touch_team(&team, |queue| {
-            let removed = queue.touch(&customer, |owner| owner.remove(key));
+        let removed = self.update_team(&team, |queue| {
+            let removed =
+                queue.update_customer(&customer, |customer_queue| customer_queue.remove(key));
             queue.waiting -= removed;
             removed
         });
@@ -401,7 +413,7 @@
     }
 
     /// Changes a team's queue and updates the team's position on the level.
-    fn touch_team<R>(&mut self, team: &NodeName, change: impl FnOnce(&mut TeamQueue) -> R) -> R {
+    fn update_team<R>(&mut self, team: &NodeName, change: impl FnOnce(&mut TeamQueue) -> R) -> R {
         let queue = self.teams.entry(team.clone()).or_insert_with(|| TeamQueue {
             weight: 1,
             limit: u32::MAX,
@@ -412,8 +424,8 @@
             waiting: 0,
         });
         let result = change(queue);
-        let standing = queue.standing();
-        self.level.set(team, standing);
+        let position = queue.position();
+        self.level.set(team, position);
         result
     }
 }
--- a/crates/mastknot_core/src/dispatch/hedging.rs
+++ b/crates/mastknot_core/src/dispatch/hedging.rs
@@ -40,12 +40,12 @@
             return;
         };
         self.counters.hedges += 1;
-        self.queue.note_extra_start(&team);
+        self.queue.record_extra_start(&team);
         let decision = Decision::new(key, Rule::Hedge)
             .task(0)
             .chosen(side.clone(), candidates)
             .waited(now.since(queued_at));
-        out.push(DispatchEffect::Decided(decision));
+        out.push(DispatchEffect::RecordDecision(decision));
         self.send_start(now, task, side, credit, queued_at, out);
     }
 }
--- a/crates/mastknot_core/src/dispatch/pooled_side.rs
+++ b/crates/mastknot_core/src/dispatch/pooled_side.rs
@@ -6,20 +6,20 @@
 
 /// Weight of a new run time in the moving mean of a side's slowness. The mean of errors uses twice
 /// this weight.
-const NEW_SHARE: f64 = 0.05;
+const SMOOTHING_FACTOR: f64 = 0.05;
 /// Slowness below which a side does not count as slow.
-const SLOW_FROM: f64 = 1.5;
+const SLOW_THRESHOLD: f64 = 1.5;
 /// Length of the first pause after a refusal.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 /// Maximum length of a pause after refusals.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 /// Rate of error answers above which a side is paused.
-const ERROR_SHARE: f64 = 0.5;
+const ERROR_RATE_THRESHOLD: f64 = 0.5;
 /// Percentage of a credit's lifetime that an entry leaves unused, as a margin for clock drift and
 /// the transit time of the start.
-const LIFE_MARGIN_PERCENT: u32 = 10;
+const LIFETIME_MARGIN_PERCENT: u32 = 10;
 /// Added to the placement score of a side in another hall. One step of slowness adds twice as much.
-const AWAY_SCORE: u32 = 1;
+const OTHER_HALL_SCORE: u32 = 1;
 
 /// A credit that this entry holds.
 #[derive(Clone, Copy, Debug)]
@@ -38,35 +38,35 @@
     pub(crate) credits: VecDeque<HeldCredit>,
     pub(crate) running: u32,
     pub(crate) is_leaving: bool,
-    pub(crate) is_away: bool,
-    pub(crate) told_at: Option<Moment>,
+    pub(crate) is_in_other_hall: bool,
+    pub(crate) demand_sent_at: Option<Moment>,
     /// Number of slots that are neither in use nor granted, as last reported by the side.
-    pub(crate) resting: u16,
+    pub(crate) idle_slots: u16,
     /// Lifetime of the side's credits, less the margin.
-    usable_life: Duration,
+    usable_lifetime: Duration,
     /// Time until which all credits granted to this entry are valid. Each message that the side
     /// receives from this entry extends it.
     extended_until: Moment,
     slowness: f64,
-    errors: f64,
+    error_rate: f64,
     refusals_in_row: u32,
     paused_until: Moment,
 }
 
 impl PooledSide {
-    pub(crate) fn new(hello: SideHello, is_away: bool) -> Self {
+    pub(crate) fn new(hello: SideHello, is_in_other_hall: bool) -> Self {
         Self {
-            resting: hello.slots,
+            idle_slots: hello.slots,
             hello,
             credits: VecDeque::new(),
             running: 0,
             is_leaving: false,
-            is_away,
-            told_at: None,
-            usable_life: Duration::ZERO,
+            is_in_other_hall,
+            demand_sent_at: None,
+            usable_lifetime: Duration::ZERO,
             extended_until: Moment::default(),
             slowness: 1.0,
-            errors: 0.0,
+            error_rate: 0.0,
             refusals_in_row: 0,
             paused_until: Moment::default(),
         }
@@ -81,10 +81,10 @@
         if credit.incarnation != self.incarnation() || self.is_leaving {
             return false;
         }
-        let life = Duration::from_millis(u64::from(credit.lifetime_ms));
-        let usable = life * (100 - LIFE_MARGIN_PERCENT) / 100;
+        let lifetime = Duration::from_millis(u64::from(credit.lifetime_ms));
+        let usable = lifetime * (100 - LIFETIME_MARGIN_PERCENT) / 100;
         if !is_borrowed {
-            self.usable_life = self.usable_life.max(usable);
+            self.usable_lifetime = self.usable_lifetime.max(usable);
         }
         self.credits.push_back(HeldCredit {
             seq: credit.seq,
@@ -96,8 +96,8 @@
 
     /// Records that the side has received a message sent at `sent_at`. Credits granted to this
     /// entry are valid for a full lifetime from that time.
-    pub(crate) fn note_received(&mut self, sent_at: Moment) {
-        let until = sent_at + self.usable_life;
+    pub(crate) fn record_received(&mut self, sent_at: Moment) {
+        let until = sent_at + self.usable_lifetime;
         self.extended_until = self.extended_until.max(until);
     }
 
@@ -117,16 +117,19 @@
         self.credits = kept;
         let dropped = before - self.credits.len();
         // The slots of expired credits stay idle at the side until an entry requests them.
-        self.resting += dropped as u16;
+        self.idle_slots += dropped as u16;
         dropped as u64
     }
 
     /// Returns the credits that expire within a third of the usable lifetime unless they are
     /// exchanged.
-    pub(crate) fn ending(&self, now: Moment) -> impl Iterator<Item = CreditSeq> + '_ {
-        let soon = now + self.usable_life / 3;
-        let ending = move |credit: &&HeldCredit| self.expires(credit) <= soon;
-        self.credits.iter().filter(ending).map(|credit| credit.seq)
+    pub(crate) fn expiring(&self, now: Moment) -> impl Iterator<Item = CreditSeq> + '_ {
+        let soon = now + self.usable_lifetime / 3;
+        let expiring = move |credit: &&HeldCredit| self.expires(credit) <= soon;
+        self.credits
+            .iter()
+            .filter(expiring)
+            .map(|credit| credit.seq)
     }
 
     pub(crate) fn runs_service(&self, service: &crate::types::NodeName) -> bool {
@@ -143,19 +146,19 @@
 
     /// Records a refusal by the target and pauses the side. Each pause in a row is twice as long as
     /// the one before, up to a maximum.
-    pub(crate) fn note_refusal(&mut self, now: Moment) {
-        let doubled = FIRST_PAUSE * 2_u32.pow(self.refusals_in_row.min(5));
+    pub(crate) fn record_refusal(&mut self, now: Moment) {
+        let doubled = INITIAL_PAUSE * 2_u32.pow(self.refusals_in_row.min(5));
         self.refusals_in_row += 1;
-        self.paused_until = now + doubled.min(LONGEST_PAUSE);
+        self.paused_until = now + doubled.min(MAX_PAUSE);
     }
 
     /// Records an answer. `ratio` is its run time relative to the mean run time of the service.
-    pub(crate) fn note_answer(&mut self, now: Moment, ratio: f64, is_error: bool) {
-        self.slowness += NEW_SHARE * (ratio - self.slowness);
+    pub(crate) fn record_answer(&mut self, now: Moment, ratio: f64, is_error: bool) {
+        self.slowness += SMOOTHING_FACTOR * (ratio - self.slowness);
         let error = if is_error { 1.0 } else { 0.0 };
-        self.errors += NEW_SHARE * 2.0 * (error - self.errors);
-        if is_error && self.errors > ERROR_SHARE {
-            self.note_refusal(now);
+        self.error_rate += SMOOTHING_FACTOR * 2.0 * (error - self.error_rate);
+        if is_error && self.error_rate > ERROR_RATE_THRESHOLD {
+            self.record_refusal(now);
         } else if !is_error {
             self.refusals_in_row = 0;
         }
@@ -168,12 +171,16 @@
     /// Returns the placement score; lower is better. The score has coarse steps, so that noise does
     /// not reorder sides of similar speed.
     pub(crate) fn score(&self) -> u32 {
-        let slow = if self.slowness < SLOW_FROM {
+        let slow = if self.slowness < SLOW_THRESHOLD {
             0
         } else {
-            (self.slowness / SLOW_FROM).log2().floor() as u32 + 1
+            (self.slowness / SLOW_THRESHOLD).log2().floor() as u32 + 1
         };
-        let away = if self.is_away { AWAY_SCORE } else { 0 };
-        2 * slow + away
+        let other_hall = if self.is_in_other_hall {
+            OTHER_HALL_SCORE
+        } else {
+            0
+        };
+        2 * slow + other_hall
     }
 }
--- a/crates/mastknot_core/src/dispatch/reports.rs
+++ b/crates/mastknot_core/src/dispatch/reports.rs
@@ -4,7 +4,7 @@
 
 use super::active_submission::Attempt;
 use super::submissions::{MIN_RETRY_AFTER, NO_TARGET_RETRY_AFTER_MS};
-use super::{DispatchEffect, Dispatcher, QueuedTask, Verdict};
+use super::{DispatchEffect, Dispatcher, QueuedTask, SubmissionOutcome};
 use crate::decision::{Decision, Rule};
 use crate::message::{
     Credit, CreditSeq, EntryMessage, FailReason, NotRunReason, Ran, Refusal, RefusalReason,
@@ -39,17 +39,17 @@
             |attempt: &Attempt| attempt.side == *side && attempt.incarnation == incarnation;
         let Some(attempt) = self.take_attempt(now, task, matches) else {
             self.counters.unmatched_dropped += 1;
-            self.pump(now, out);
+            self.spend_credits(now, out);
             return;
         };
         self.counters.answers += 1;
         match outcome {
             TaskOutcome::Done(result) => {
-                self.note_run(now, task, side, run, result.status);
+                self.record_run(now, task, side, run, result.status);
                 self.task_done(now, task, result, out);
             }
             TaskOutcome::NotRun(reason) => {
-                self.pool.update(now, side, |side| side.note_refusal(now));
+                self.pool.update(now, side, |side| side.record_refusal(now));
                 self.attempt_not_run(now, task, attempt, reason, out);
             }
             TaskOutcome::Lost => {
@@ -59,7 +59,7 @@
                 self.attempt_lost(now, task, attempt, FailReason::TaskStopped, out);
             }
         }
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
     /// Handles the report of a side that it did not start a task.
@@ -85,7 +85,7 @@
             Some(attempt) => self.attempt_not_run(now, task, attempt, reason, out),
             None => self.counters.unmatched_dropped += 1,
         }
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
     pub(super) fn take_attempt(
@@ -98,21 +98,21 @@
         let attempt = submission.take_attempt(task.index, matches)?;
         let team = submission.team.clone();
         self.pool.update(now, &attempt.side, |side| {
-            side.note_received(attempt.at);
+            side.record_received(attempt.at);
         });
-        self.note_attempt_over(now, &team, &attempt);
+        self.record_attempt_ended(now, &team, &attempt);
         Some(attempt)
     }
 
-    pub(super) fn note_attempt_over(&mut self, now: Moment, team: &NodeName, attempt: &Attempt) {
-        self.queue.note_ended(team);
+    pub(super) fn record_attempt_ended(&mut self, now: Moment, team: &NodeName, attempt: &Attempt) {
+        self.queue.record_ended(team);
         self.running = self.running.saturating_sub(1);
         self.pool.update(now, &attempt.side, |side| {
             side.running = side.running.saturating_sub(1);
         });
     }
 
-    pub(super) fn note_run(
+    pub(super) fn record_run(
         &mut self,
         now: Moment,
         task: TaskId,
@@ -130,7 +130,7 @@
             estimate.record(run);
         }
         self.pool
-            .update(now, side, |side| side.note_answer(now, ratio, is_error));
+            .update(now, side, |side| side.record_answer(now, ratio, is_error));
     }
 
     pub(super) fn task_done(
@@ -143,9 +143,9 @@
         let Some(submission) = self.active.get_mut(&task.key) else {
             return;
         };
-        let place = &mut submission.results[usize::from(task.index)];
-        debug_assert!(place.is_none(), "task {task:?} was answered before");
-        *place = Some(result);
+        let result_slot = &mut submission.results[usize::from(task.index)];
+        debug_assert!(result_slot.is_none(), "task {task:?} was answered before");
+        *result_slot = Some(result);
         submission.missing -= 1;
         if submission.missing > 0 {
             return;
@@ -154,8 +154,8 @@
         let results = submission.results.iter_mut().filter_map(Option::take);
         let answer = SubmissionAnswer::Complete(results.collect());
         let decision = Decision::new(task.key, Rule::Completed).waited(now.since(accepted_at));
-        out.push(DispatchEffect::Decided(decision));
-        self.end(now, task.key, Verdict::Answered(answer), out);
+        out.push(DispatchEffect::RecordDecision(decision));
+        self.end(now, task.key, SubmissionOutcome::Answered(answer), out);
     }
 
     /// Queues a task again whose start is known not to have run, or ends the submission after too
@@ -176,18 +176,19 @@
             return;
         };
         submission.not_run += 1;
-        let other_attempt = submission.attempts.contains_key(&task.index);
-        if other_attempt {
+        let has_other_attempt = submission.attempts.contains_key(&task.index);
+        if has_other_attempt {
             return;
         }
-        let only_waited = submission.attempts.is_empty()
+        let has_only_waited = submission.attempts.is_empty()
             && usize::from(submission.missing) == submission.results.len();
-        let too_often = submission.not_run > MAX_NOT_RUN + submission.results.len() as u32;
-        if too_often || reason == NotRunReason::DeadlinePassed {
-            if only_waited && !submission.may_have_run {
+        let has_too_many_reports =
+            submission.not_run > MAX_NOT_RUN + submission.results.len() as u32;
+        if has_too_many_reports || reason == NotRunReason::DeadlinePassed {
+            if has_only_waited && !submission.may_have_run {
                 let refusal = Refusal::not_run(RefusalReason::TargetsRefused)
                     .retry_after_ms(NO_TARGET_RETRY_AFTER_MS);
-                self.end(now, task.key, Verdict::Refused(refusal), out);
+                self.end(now, task.key, SubmissionOutcome::Refused(refusal), out);
                 return;
             }
             return self.fail(now, task.key, FailReason::DeadlinePassed, out);
@@ -201,7 +202,7 @@
         let decision = Decision::new(task.key, Rule::NotRunAgain { reason })
             .task(task.index)
             .chosen(attempt.side, Vec::new());
-        out.push(DispatchEffect::Decided(decision));
+        out.push(DispatchEffect::RecordDecision(decision));
         self.queue.put_back(&team, &customer, queued);
     }
 
@@ -233,8 +234,8 @@
         reason: FailReason,
         out: &mut Vec<DispatchEffect>,
     ) {
-        let same = |other: &Attempt| *other == attempt;
-        self.take_attempt(now, task, same);
+        let is_same = |other: &Attempt| *other == attempt;
+        self.take_attempt(now, task, is_same);
         let Some(submission) = self.active.get_mut(&task.key) else {
             return;
         };
@@ -268,7 +269,7 @@
         let decision = Decision::new(task.key, Rule::UnknownAgain)
             .task(task.index)
             .chosen(attempt.side, Vec::new());
-        out.push(DispatchEffect::Decided(decision));
+        out.push(DispatchEffect::RecordDecision(decision));
         self.queue.put_back(&team, &customer, queued);
     }
 
@@ -282,21 +283,21 @@
         let Some(submission) = self.active.get(&key) else {
             return;
         };
-        let nothing_sent = submission.attempts.is_empty()
+        let has_nothing_started = submission.attempts.is_empty()
             && !submission.may_have_run
             && usize::from(submission.missing) == submission.results.len();
         let rule = Rule::Failed { reason };
         let decision = Decision::new(key, rule).waited(now.since(submission.accepted_at));
-        out.push(DispatchEffect::Decided(decision));
-        if nothing_sent {
+        out.push(DispatchEffect::RecordDecision(decision));
+        if has_nothing_started {
             self.counters.expired_in_queue += 1;
             let refusal = Refusal::not_run(RefusalReason::DeadlineTooClose)
                 .retry_after_ms(MIN_RETRY_AFTER.as_millis() as u32);
-            return self.end(now, key, Verdict::Refused(refusal), out);
+            return self.end(now, key, SubmissionOutcome::Refused(refusal), out);
         }
         let ran = Ran::Unknown;
         let answer = SubmissionAnswer::Failed { reason, ran };
-        self.end(now, key, Verdict::Answered(answer), out);
+        self.end(now, key, SubmissionOutcome::Answered(answer), out);
     }
 
     /// Ends a submission: removes its waiting tasks from the queue and stops its running tasks.
@@ -304,7 +305,7 @@
         &mut self,
         now: Moment,
         key: SubmissionKey,
-        verdict: Verdict,
+        outcome: SubmissionOutcome,
         out: &mut Vec<DispatchEffect>,
     ) {
         let Some(submission) = self.active.remove(&key) else {
@@ -318,11 +319,14 @@
             out.push(DispatchEffect::ToSide { side, message });
         }
         for attempt in submission.attempts.values().flatten() {
-            if matches!(verdict, Verdict::Answered(SubmissionAnswer::Complete(_))) {
+            if matches!(
+                outcome,
+                SubmissionOutcome::Answered(SubmissionAnswer::Complete(_))
+            ) {
                 self.counters.hedges_wasted += 1;
             }
-            self.note_attempt_over(now, &submission.team, attempt);
+            self.record_attempt_ended(now, &submission.team, attempt);
         }
-        out.push(DispatchEffect::Ended { key, verdict });
+        out.push(DispatchEffect::Ended { key, outcome });
     }
 }
--- a/crates/mastknot_core/src/dispatch/retry_budget.rs
+++ b/crates/mastknot_core/src/dispatch/retry_budget.rs
@@ -16,7 +16,7 @@
 ///
 /// let mut budget = RetryBudget::new(10);
 /// assert!(!budget.try_spend(), "nothing was paid in");
-/// (0..10).for_each(|_| budget.note_first_start());
+/// (0..10).for_each(|_| budget.record_first_start());
 /// assert!(budget.try_spend());
 /// assert!(!budget.try_spend());
 /// ```
@@ -41,9 +41,9 @@
     }
 
     /// Adds the share of one first start to the budget.
-    pub fn note_first_start(&mut self) {
-        let most = MAX_SAVED_RETRIES * RETRY_COST;
-        self.saved = most.min(self.saved + self.percent);
+    pub fn record_first_start(&mut self) {
+        let max_saved = MAX_SAVED_RETRIES * RETRY_COST;
+        self.saved = max_saved.min(self.saved + self.percent);
     }
 
     /// Takes one retry out of the budget. Returns false if the budget does not cover a retry.
--- a/crates/mastknot_core/src/dispatch/service_estimate.rs
+++ b/crates/mastknot_core/src/dispatch/service_estimate.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 /// Weight of a new run time in the moving mean.
-const NEW_SHARE: f64 = 0.02;
+const SMOOTHING_FACTOR: f64 = 0.02;
 
 /// Moving mean of the time for which a task of a service occupies a slot.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
     /// Adds one measured run time to the mean.
     pub fn record(&mut self, run: Duration) {
         let run = run.as_micros() as f64;
-        self.mean_micros += NEW_SHARE * (run - self.mean_micros);
+        self.mean_micros += SMOOTHING_FACTOR * (run - self.mean_micros);
     }
 
     /// Returns the estimated run time of one task.
--- a/crates/mastknot_core/src/dispatch/sides.rs
+++ b/crates/mastknot_core/src/dispatch/sides.rs
@@ -1,7 +1,7 @@
 //! Sides that join, leave and grant credits, and peers that request and lend credits.
 
 use super::active_submission::Attempt;
-use super::peer_want::PeerWant;
+use super::peer_request::PeerRequest;
 use super::{DispatchEffect, Dispatcher};
 use crate::message::{Credit, Demand, FailReason, SideCredit, SideHello};
 use crate::types::{Moment, NodeName, TaskId};
@@ -11,8 +11,8 @@
     pub fn side_joined(&mut self, now: Moment, hello: SideHello, out: &mut Vec<DispatchEffect>) {
         let name = hello.side.clone();
         self.side_left(now, &name, out);
-        self.pool.join(now, hello);
-        self.ask_for_reserve(now, &name, out);
+        self.pool.add_side(now, hello);
+        self.request_reserve(now, &name, out);
     }
 
     /// Handles the loss of the link to a side. Attempts on the side have an unknown outcome.
@@ -20,11 +20,11 @@
         if self.pool.side(side).is_none() {
             return;
         }
-        self.pool.leave(now, side);
+        self.pool.remove_side(now, side);
         for (task, attempt) in self.attempts_on(side) {
             self.attempt_lost(now, task, attempt, FailReason::SideLost, out);
         }
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
     pub(super) fn attempts_on(&self, side: &NodeName) -> Vec<(TaskId, Attempt)> {
@@ -58,12 +58,12 @@
         now: Moment,
         side: &NodeName,
         credits: &[Credit],
-        resting: u16,
+        idle_slots: u16,
         out: &mut Vec<DispatchEffect>,
     ) {
-        self.note_resting(now, side, resting);
+        self.record_idle_slots(now, side, idle_slots);
         self.keep(now, side, credits, false);
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
     pub(super) fn keep(
@@ -83,7 +83,7 @@
     }
 
     /// Handles the request of a peer that has waiting tasks and too few credits.
-    pub fn peer_wants(
+    pub fn peer_requested_credits(
         &mut self,
         now: Moment,
         peer: &NodeName,
@@ -91,22 +91,23 @@
         running: u32,
         out: &mut Vec<DispatchEffect>,
     ) {
-        self.peer_wants
+        self.peer_requests
             .entry(peer.clone())
-            .and_modify(|want| want.state_again(now, demand, running))
-            .or_insert_with(|| PeerWant::new(now, demand, running));
+            .and_modify(|request| request.update(now, demand, running))
+            .or_insert_with(|| PeerRequest::new(now, demand, running));
         self.counters.credits_lapsed += self.pool.drop_expired(now);
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
     /// Forgets a lost peer and its request for credits.
     pub fn forget_peer(&mut self, peer: &NodeName) {
-        self.peer_wants.remove(peer);
+        self.peer_requests.remove(peer);
     }
 
     /// Records the number of slots that a side reports as neither in use nor granted.
-    pub fn note_resting(&mut self, now: Moment, side: &NodeName, resting: u16) {
-        self.pool.update(now, side, |side| side.resting = resting);
+    pub fn record_idle_slots(&mut self, now: Moment, side: &NodeName, idle_slots: u16) {
+        self.pool
+            .update(now, side, |side| side.idle_slots = idle_slots);
     }
 
     /// Adds credits lent by a peer.
@@ -120,6 +121,6 @@
         for lent in credits {
             self.keep(now, &lent.side, &[lent.credit], true);
         }
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 }
--- a/crates/mastknot_core/src/dispatch/starting.rs
+++ b/crates/mastknot_core/src/dispatch/starting.rs
@@ -15,10 +15,10 @@
 impl Dispatcher {
     /// Spends idle credits on waiting tasks, or lends them to a peer with more urgent tasks, until
     /// the credits or the tasks run out.
-    pub(super) fn pump(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
+    pub(super) fn spend_credits(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
         let mut lent: BTreeMap<NodeName, Vec<SideCredit>> = BTreeMap::new();
         while self.pool.idle() > 0 {
-            if let Some(peer) = self.peer_to_serve(now, !lent.is_empty()) {
+            if let Some(peer) = self.peer_to_lend_to(now, !lent.is_empty()) {
                 if !self.lend_one(now, &peer, &mut lent) {
                     break;
                 }
@@ -31,27 +31,29 @@
             out.push(DispatchEffect::Lend { peer, credits });
         }
         if self.queue.waiting() > 0 {
-            self.ask(now, out);
+            self.request_credits(now, out);
         }
     }
 
     /// Returns the peer to lend the next idle credit to, or `None` if the credit stays here.
     ///
     /// While no task waits here, credits are collected and lent in a batch.
-    pub(super) fn peer_to_serve(&self, now: Moment, is_lending: bool) -> Option<NodeName> {
-        if self.peer_wants.is_empty() {
+    pub(super) fn peer_to_lend_to(&self, now: Moment, is_lending: bool) -> Option<NodeName> {
+        if self.peer_requests.is_empty() {
             return None;
         }
         let own = self.queue.first_order();
         if own.is_none() && self.pool.idle() <= self.kept_credits() {
             return None;
         }
-        let (peer, want) = self
-            .peer_wants
+        let (peer, request) = self
+            .peer_requests
             .iter()
-            .filter(|(_, want)| want.counts(now) && want.goes_first(now, own, self.running))
-            .min_by_key(|(_, want)| want.demand.urgency)?;
-        let batch = want.demand.wanted.min(self.profile.lend_batch) as usize;
+            .filter(|(_, request)| {
+                request.is_open(now) && request.takes_precedence(now, own, self.running)
+            })
+            .min_by_key(|(_, request)| request.demand.urgency)?;
+        let batch = request.demand.wanted.min(self.profile.lend_batch) as usize;
         let may_lend = is_lending || own.is_some() || self.pool.idle() >= batch;
         may_lend.then(|| peer.clone())
     }
@@ -71,8 +73,8 @@
         let Some(credit) = self.pool.lend_one(now) else {
             return false;
         };
-        if let Some(want) = self.peer_wants.get_mut(peer) {
-            want.note_lent();
+        if let Some(request) = self.peer_requests.get_mut(peer) {
+            request.record_lent();
         }
         lent.entry(peer.clone()).or_default().push(credit);
         true
@@ -87,7 +89,7 @@
         let task = queued.task;
         if self.is_too_late(now, task) {
             let team = self.active[&task.key].team.clone();
-            self.queue.note_ended(&team);
+            self.queue.record_ended(&team);
             self.fail(now, task.key, FailReason::DeadlinePassed, out);
             return true;
         }
@@ -96,12 +98,12 @@
         };
         let had_to_wait = now > queued.since;
         self.start_rate.record(now, had_to_wait);
-        self.retry_budget.note_first_start();
+        self.retry_budget.record_first_start();
         let decision = Decision::new(task.key, Rule::BestCredit)
             .task(task.index)
             .chosen(side.clone(), candidates)
             .waited(now.since(queued.since));
-        out.push(DispatchEffect::Decided(decision));
+        out.push(DispatchEffect::RecordDecision(decision));
         self.send_start(now, task, side, credit, queued.since, out);
         true
     }
@@ -142,7 +144,7 @@
         let incarnation = self
             .pool
             .update(now, &side, |side| {
-                side.told_at = Some(now);
+                side.demand_sent_at = Some(now);
                 side.incarnation()
             })
             .expect("a credit was taken from this side");
@@ -176,7 +178,7 @@
             self.hedges.insert((now + after, task.key));
         }
         self.running += 1;
-        self.note_peak(now);
+        self.update_peak(now);
         self.counters.starts += 1;
         let message = EntryMessage::Start {
             incarnation,
@@ -187,7 +189,7 @@
         out.push(DispatchEffect::ToSide { side, message });
     }
 
-    pub(super) fn note_peak(&mut self, now: Moment) {
+    pub(super) fn update_peak(&mut self, now: Moment) {
         let is_old = now.since(self.peak_at) > PEAK_WINDOW;
         if self.running >= self.peak_running || is_old {
             self.peak_running = self.running;
--- a/crates/mastknot_core/src/dispatch/submissions.rs
+++ b/crates/mastknot_core/src/dispatch/submissions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::active_submission::ActiveSubmission;
-use super::{DispatchEffect, Dispatcher, NewWork, ServiceEstimate};
+use super::{DispatchEffect, Dispatcher, NewSubmission, ServiceEstimate};
 use crate::config::Service;
 use crate::decision::{Decision, Rule};
 use crate::message::{FailReason, Refusal, RefusalReason, Submission, SubmissionKind};
@@ -12,7 +12,8 @@
 
 /// Minimum retry delay in a refusal.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Retry delay in milliseconds in a refusal because no target can run the task.
+/// Retry delay in milliseconds in a refusal because no target runs the service or accepts the
+/// task.
 pub(super) const NO_TARGET_RETRY_AFTER_MS: u32 = 1_000;
 
 impl Dispatcher {
@@ -33,16 +34,22 @@
                 reason: refusal.reason,
                 expected_wait_ms: wait.as_millis() as u64,
             };
-            out.push(DispatchEffect::Decided(Decision::new(submission.key, rule)));
+            out.push(DispatchEffect::RecordDecision(Decision::new(
+                submission.key,
+                rule,
+            )));
             return Err(refusal);
         }
         let rule = Rule::Accepted {
             expected_wait_ms: wait.as_millis() as u64,
             ahead,
         };
-        out.push(DispatchEffect::Decided(Decision::new(submission.key, rule)));
+        out.push(DispatchEffect::RecordDecision(Decision::new(
+            submission.key,
+            rule,
+        )));
         self.enqueue(now, submission, definition);
-        self.pump(now, out);
+        self.spend_credits(now, out);
         Ok(())
     }
 
@@ -54,7 +61,7 @@
         self.estimates
             .entry(submission.service.clone())
             .or_insert_with(|| ServiceEstimate::new(definition.typical()));
-        let work = NewWork {
+        let work = NewSubmission {
             team: submission.team.clone(),
             customer: submission.customer.clone(),
             service: submission.service.clone(),
@@ -158,6 +165,6 @@
     /// Stops a submission whose answer is no longer needed.
     pub fn cancel(&mut self, now: Moment, key: SubmissionKey, out: &mut Vec<DispatchEffect>) {
         self.fail(now, key, FailReason::HolderStopped, out);
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 }
--- a/crates/mastknot_core/src/entry/callers.rs
+++ b/crates/mastknot_core/src/entry/callers.rs
@@ -18,10 +18,10 @@
 const LEDGER_RETRY_AFTER_MS: u32 = 5_000;
 
 /// Time in milliseconds after a submission's deadline at which the owner's reply counts as lost.
-const HOLDER_GRACE_MS: u32 = 500;
-/// Time in milliseconds for which a fetch waits for the owner's reply, before the grace period
-/// above is added.
-const FETCH_LIMIT_MS: u32 = 60_000;
+const OWNER_GRACE_MS: u32 = 500;
+/// Time in milliseconds for which a fetch waits for the owner's reply; [`OWNER_GRACE_MS`] is added to
+/// it.
+const FETCH_TIMEOUT_MS: u32 = 60_000;
 
 /// A request that was forwarded to a peer.
 #[derive(Clone, Debug)]
@@ -29,26 +29,26 @@
     pub(super) waiter: Waiter,
     pub(super) peer: NodeName,
     /// Time at which the caller is informed that the outcome is unknown.
-    pub(super) until: Moment,
+    pub(super) expires_at: Moment,
 }
 
 /// A submission that waits until the earlier owners of its key have reported whether they accepted
 /// it.
 #[derive(Clone, Debug)]
-pub(super) struct Question {
+pub(super) struct KeyQuery {
     pub(super) waiter: Waiter,
     pub(super) wait: bool,
     pub(super) submission: Submission,
     /// Earlier owner that is being queried.
     pub(super) peer: MemberId,
     /// Time at which the caller is informed that the outcome is unknown.
-    pub(super) until: Moment,
+    pub(super) expires_at: Moment,
     /// Earlier owners that have reported that they never accepted the key.
-    pub(super) cleared: Vec<MemberId>,
+    pub(super) cleared_by: Vec<MemberId>,
 }
 
 impl EntryCore {
-    pub(super) fn caller_asked(
+    pub(super) fn on_caller_request(
         &mut self,
         now: Now,
         request: RequestId,
@@ -65,7 +65,7 @@
     }
 
     /// Forgets a caller that has disconnected. Its submission continues, only the reply is dropped.
-    pub(super) fn caller_gone(&mut self, request: RequestId) {
+    pub(super) fn on_caller_gone(&mut self, request: RequestId) {
         let gone = Waiter::Caller(request);
         for waiters in self.waiters.values_mut() {
             waiters.retain(|waiter| *waiter != gone);
@@ -104,11 +104,11 @@
             return self.refuse(&waiter, refusal, out);
         }
         let digest = submission.digest();
-        if self.breakage == Some(DisabledCheck::Resubmission) {
+        if self.disabled_check == Some(DisabledCheck::Resubmission) {
             self.ledger = Ledger::new(self.settings.ledger);
         }
         match self.ledger.look_up(submission.key, digest) {
-            Lookup::Absent => self.submit_unknown(now, waiter, submission, wait, out),
+            Lookup::Absent => self.submit_new(now, waiter, submission, wait, out),
             Lookup::Reused => {
                 let refusal = Refusal::not_run(RefusalReason::KeyReused);
                 self.refuse(&waiter, refusal, out);
@@ -146,7 +146,7 @@
         }
     }
 
-    fn submit_unknown(
+    fn submit_new(
         &mut self,
         now: Now,
         waiter: Waiter,
@@ -156,12 +156,12 @@
     ) {
         let mut acceptance = self.membership.acceptance(now, submission.key);
         let is_earlier = matches!(acceptance, Acceptance::Ask(_) | Acceptance::Unknown);
-        if is_earlier && self.breakage == Some(DisabledCheck::EarlierOwners) {
+        if is_earlier && self.disabled_check == Some(DisabledCheck::EarlierOwners) {
             acceptance = Acceptance::Yes;
         }
         match acceptance {
             Acceptance::Yes => self.accept(now, waiter, submission, wait, out),
-            Acceptance::HeldBy(holder) => {
+            Acceptance::HeldBy(owner) => {
                 if matches!(waiter, Waiter::Peer { .. }) {
                     // The sender's roster differs from this entry's; a second hop could lead to a
                     // forwarding loop.
@@ -172,8 +172,8 @@
                         out,
                     );
                 }
-                let until = self.give_up_at(now, submission.deadline_ms);
-                self.forward(waiter, &holder.id.name, until, out, |request| {
+                let expires_at = self.reply_expiry(now, submission.deadline_ms);
+                self.forward(waiter, &owner.id.name, expires_at, out, |request| {
                     PeerMessage::Forward {
                         request,
                         wait,
@@ -197,17 +197,17 @@
                     .retry_after_ms(left.as_millis() as u32 + 1);
                 self.refuse(&waiter, refusal, out);
             }
-            Acceptance::Ask(holders) => {
-                let until = self.give_up_at(now, submission.deadline_ms);
-                let question = Question {
+            Acceptance::Ask(owners) => {
+                let expires_at = self.reply_expiry(now, submission.deadline_ms);
+                let query = KeyQuery {
                     waiter,
                     wait,
                     submission,
                     peer: self.settings.me.id.clone(),
-                    until,
-                    cleared: Vec::new(),
+                    expires_at,
+                    cleared_by: Vec::new(),
                 };
-                self.ask_holders(now, question, holders, out);
+                self.query_earlier_owners(now, query, owners, out);
             }
             Acceptance::Unknown => {
                 self.rebuild(now, waiter, submission.key, Some(submission.digest()), out);
@@ -223,7 +223,7 @@
         wait: bool,
         out: &mut Vec<EntryEffect>,
     ) {
-        if self.is_stopping && self.is_alone() {
+        if self.is_stopping && self.is_only_member() {
             let refusal = Refusal::not_run(RefusalReason::Stopping);
             return self.refuse(&waiter, refusal.retry_after_ms(ROSTER_RETRY_AFTER_MS), out);
         }
@@ -265,7 +265,7 @@
         &mut self,
         waiter: Waiter,
         peer: &NodeName,
-        until: Moment,
+        expires_at: Moment,
         out: &mut Vec<EntryEffect>,
         message: impl FnOnce(u64) -> PeerMessage,
     ) {
@@ -281,7 +281,7 @@
         let forwarded = Forwarded {
             waiter,
             peer: peer.clone(),
-            until,
+            expires_at,
         };
         self.forwards.insert(request, forwarded);
         let message = message(request);
@@ -301,9 +301,9 @@
             return self.reply_known(waiter, key, known, wait, out);
         }
         match self.membership.acceptance(now, key) {
-            Acceptance::HeldBy(holder) if matches!(waiter, Waiter::Caller(_)) => {
-                let until = self.give_up_at(now, FETCH_LIMIT_MS);
-                self.forward(waiter, &holder.id.name, until, out, |request| {
+            Acceptance::HeldBy(owner) if matches!(waiter, Waiter::Caller(_)) => {
+                let expires_at = self.reply_expiry(now, FETCH_TIMEOUT_MS);
+                self.forward(waiter, &owner.id.name, expires_at, out, |request| {
                     PeerMessage::Fetch { request, wait, key }
                 });
             }
@@ -320,9 +320,9 @@
     }
 
     /// Handles the reply of an owner to a forwarded request.
-    pub(super) fn replied(&mut self, request: u64, reply: Reply, out: &mut Vec<EntryEffect>) {
+    pub(super) fn on_reply(&mut self, request: u64, reply: Reply, out: &mut Vec<EntryEffect>) {
         let forwarded = self.forwards.remove(&request).map(|f| f.waiter);
-        let asked = || self.questions.remove(&request).map(|q| q.waiter);
+        let asked = || self.key_queries.remove(&request).map(|q| q.waiter);
         match forwarded.or_else(asked) {
             Some(waiter) => self.reply(&waiter, reply, out),
             None => self.counters.unmatched_replies += 1,
@@ -332,7 +332,7 @@
     /// Fails the requests that were forwarded to a lost peer. They may have run there.
     pub(super) fn fail_forwards(&mut self, peer: &NodeName, out: &mut Vec<EntryEffect>) {
         let forwards = self.forwards.iter();
-        for request in sorted(forwards.filter(|(_, forwarded)| forwarded.peer == *peer)) {
+        for request in sorted_ids(forwards.filter(|(_, forwarded)| forwarded.peer == *peer)) {
             let Some(forwarded) = self.forwards.remove(&request) else {
                 continue;
             };
@@ -342,49 +342,49 @@
         }
     }
 
-    fn give_up_at(&self, now: Now, deadline_ms: u32) -> Moment {
-        now.monotonic + Duration::from_millis(u64::from(deadline_ms + HOLDER_GRACE_MS))
+    fn reply_expiry(&self, now: Now, deadline_ms: u32) -> Moment {
+        now.monotonic + Duration::from_millis(u64::from(deadline_ms + OWNER_GRACE_MS))
     }
 
     /// Informs callers whose owner has not replied in time that the outcome is unknown.
-    pub(super) fn give_up_late(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
-        let is_late = |until: Moment| until <= now.monotonic;
+    pub(super) fn expire_requests(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
+        let is_late = |expires_at: Moment| expires_at <= now.monotonic;
         let forwards = self.forwards.iter();
-        for request in sorted(forwards.filter(|(_, forwarded)| is_late(forwarded.until))) {
+        for request in sorted_ids(forwards.filter(|(_, forwarded)| is_late(forwarded.expires_at))) {
             if let Some(forwarded) = self.forwards.remove(&request) {
                 let refusal = Refusal::unknown(RefusalReason::HolderLost);
                 self.refuse(&forwarded.waiter, refusal, out);
             }
         }
-        let questions = self.questions.iter();
-        for request in sorted(questions.filter(|(_, question)| is_late(question.until))) {
-            if let Some(question) = self.questions.remove(&request) {
+        let key_queries = self.key_queries.iter();
+        for request in sorted_ids(key_queries.filter(|(_, query)| is_late(query.expires_at))) {
+            if let Some(query) = self.key_queries.remove(&request) {
                 let refusal = Refusal::unknown(RefusalReason::OutcomeUnknown);
                 let refusal = refusal.retry_after_ms(ROSTER_RETRY_AFTER_MS);
-                self.refuse(&question.waiter, refusal, out);
+                self.refuse(&query.waiter, refusal, out);
             }
         }
     }
 
-    // ---- asking earlier holders ----
+    // ---- queries to earlier owners ----
 
     /// Queries the first earlier owner that has not cleared the key, or accepts the submission if
     /// all have.
-    fn ask_holders(
+    fn query_earlier_owners(
         &mut self,
         now: Now,
-        mut question: Question,
-        holders: Vec<MemberId>,
+        mut query: KeyQuery,
+        owners: Vec<MemberId>,
         out: &mut Vec<EntryEffect>,
     ) {
-        let is_open = |id: &MemberId| !question.cleared.contains(id);
-        let Some(peer) = holders.into_iter().find(is_open) else {
-            let Question {
+        let is_open = |id: &MemberId| !query.cleared_by.contains(id);
+        let Some(peer) = owners.into_iter().find(is_open) else {
+            let KeyQuery {
                 waiter,
                 wait,
                 submission,
                 ..
-            } = question;
+            } = query;
             return self.accept(now, waiter, submission, wait, out);
         };
         self.counters.keys_asked += 1;
@@ -392,94 +392,89 @@
         let message = PeerMessage::AskKey {
             request,
             version: self.membership.version(),
-            key: question.submission.key,
-            digest: question.submission.digest(),
-            wait: question.wait,
+            key: query.submission.key,
+            digest: query.submission.digest(),
+            wait: query.wait,
         };
         out.push(EntryEffect::ToPeer {
             peer: peer.name.clone(),
             message,
         });
-        question.peer = peer;
-        self.questions.insert(request, question);
+        query.peer = peer;
+        self.key_queries.insert(request, query);
     }
 
     /// Handles the report of an earlier owner on a key.
-    pub(super) fn key_known(
+    pub(super) fn on_key_status(
         &mut self,
         now: Now,
         request: u64,
         status: KeyStatus,
         out: &mut Vec<EntryEffect>,
     ) {
-        let Some(mut question) = self.questions.remove(&request) else {
+        let Some(mut query) = self.key_queries.remove(&request) else {
             self.counters.unmatched_replies += 1;
             return;
         };
         match status {
-            KeyStatus::Held(reply) => self.reply(&question.waiter, reply, out),
+            KeyStatus::Held(reply) => self.reply(&query.waiter, reply, out),
             KeyStatus::Unknown => {
                 let refusal = Refusal::unknown(RefusalReason::OutcomeUnknown);
-                self.refuse(&question.waiter, refusal, out);
+                self.refuse(&query.waiter, refusal, out);
             }
             KeyStatus::NeverAccepted => {
-                question.cleared.push(question.peer.clone());
-                self.go_on_asking(now, question, out);
+                query.cleared_by.push(query.peer.clone());
+                self.continue_query(now, query, out);
             }
         }
     }
 
-    fn go_on_asking(&mut self, now: Now, question: Question, out: &mut Vec<EntryEffect>) {
-        let key = question.submission.key;
+    fn continue_query(&mut self, now: Now, query: KeyQuery, out: &mut Vec<EntryEffect>) {
+        let key = query.submission.key;
         // Another submission of the key may have been accepted while the query was open.
         let is_absent = self.ledger.find(key) == Lookup::Absent;
         match self.membership.acceptance(now, key) {
-            Acceptance::Ask(holders) if is_absent => self.ask_holders(now, question, holders, out),
-            _ => self.submit(
-                now,
-                question.waiter,
-                question.submission,
-                question.wait,
-                out,
-            ),
+            Acceptance::Ask(owners) if is_absent => {
+                self.query_earlier_owners(now, query, owners, out)
+            }
+            _ => self.submit(now, query.waiter, query.submission, query.wait, out),
         }
     }
 
     /// Repeats all open queries after a change of the roster, since they were made under the old
     /// roster.
-    pub(super) fn resume_questions(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
-        self.restart_questions(now, |_| true, out);
+    pub(super) fn restart_all_queries(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
+        self.restart_queries(now, |_| true, out);
     }
 
     /// Repeats the queries that a lost peer can no longer answer.
-    pub(super) fn fail_questions(&mut self, now: Now, peer: &MemberId, out: &mut Vec<EntryEffect>) {
+    pub(super) fn restart_queries_to(
+        &mut self,
+        now: Now,
+        peer: &MemberId,
+        out: &mut Vec<EntryEffect>,
+    ) {
         let lost = peer.clone();
-        self.restart_questions(now, move |question| question.peer == lost, out);
+        self.restart_queries(now, move |query| query.peer == lost, out);
     }
 
-    fn restart_questions(
+    fn restart_queries(
         &mut self,
         now: Now,
-        which: impl Fn(&Question) -> bool,
+        which: impl Fn(&KeyQuery) -> bool,
         out: &mut Vec<EntryEffect>,
     ) {
-        let questions = self.questions.iter();
-        for request in sorted(questions.filter(|(_, question)| which(question))) {
-            if let Some(question) = self.questions.remove(&request) {
-                self.submit(
-                    now,
-                    question.waiter,
-                    question.submission,
-                    question.wait,
-                    out,
-                );
+        let key_queries = self.key_queries.iter();
+        for request in sorted_ids(key_queries.filter(|(_, query)| which(query))) {
+            if let Some(query) = self.key_queries.remove(&request) {
+                self.submit(now, query.waiter, query.submission, query.wait, out);
             }
         }
     }
 
     /// Answers the query of a new owner for a key that this entry may have owned earlier.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn key_asked(
+    pub(super) fn on_key_query(
         &mut self,
         peer: &NodeName,
         request: u64,
@@ -518,7 +513,7 @@
         out.push(EntryEffect::ToPeer { peer, message });
     }
 
-    pub(super) fn is_alone(&self) -> bool {
+    pub(super) fn is_only_member(&self) -> bool {
         self.membership
             .roster()
             .is_none_or(|roster| roster.members.len() <= 1)
@@ -527,7 +522,7 @@
 
 /// Returns the ids of open requests in ascending order, because the iteration order of a `HashMap`
 /// differs between runs.
-fn sorted<'a, T: 'a>(open: impl Iterator<Item = (&'a u64, &'a T)>) -> Vec<u64> {
+fn sorted_ids<'a, T: 'a>(open: impl Iterator<Item = (&'a u64, &'a T)>) -> Vec<u64> {
     let mut requests: Vec<u64> = open.map(|(request, _)| *request).collect();
     requests.sort_unstable();
     requests
--- a/crates/mastknot_core/src/entry/entry_core.rs
+++ b/crates/mastknot_core/src/entry/entry_core.rs
@@ -6,7 +6,9 @@
 use super::{ConfigStatus, EntryCounters, EntryEffect, EntryEvent, EntrySettings, RequestId};
 use crate::config::{ConfigReplica, Profile, Service, Team};
 use crate::decision::DecisionLog;
-use crate::dispatch::{DispatchCounters, DispatchEffect, Dispatcher, SideStatus, Verdict};
+use crate::dispatch::{
+    DispatchCounters, DispatchEffect, Dispatcher, SideStatus, SubmissionOutcome,
+};
 use crate::message::{PeerMessage, Reply, SubmissionAnswer};
 use crate::roster::{Membership, MembershipEffect, Roster};
 use crate::submission::Ledger;
@@ -63,21 +65,27 @@
     pub(super) config: ConfigReplica,
     pub(super) decisions: DecisionLog,
     pub(super) counters: EntryCounters,
+    /// Recipients of the answer, for each submission that has no answer yet.
     pub(super) waiters: HashMap<SubmissionKey, Vec<Waiter>>,
+    /// Requests forwarded to peers, by request id.
     pub(super) forwards: HashMap<u64, super::callers::Forwarded>,
-    pub(super) questions: HashMap<u64, super::callers::Question>,
+    /// Open queries to earlier owners, by request id.
+    pub(super) key_queries: HashMap<u64, super::callers::KeyQuery>,
     pub(super) rebuilds: HashMap<SubmissionKey, Rebuild>,
     pub(super) sides: BTreeMap<NodeName, SideLink>,
-    pub(super) peer_versions: BTreeMap<NodeName, u64>,
+    /// Configuration version in force on each peer, as last reported.
+    pub(super) peer_config_versions: BTreeMap<NodeName, u64>,
+    /// Running tasks by team on each peer, as last reported.
     pub(super) team_use: BTreeMap<NodeName, Vec<(NodeName, u32)>>,
     pub(super) team_quotas: BTreeMap<NodeName, u32>,
+    /// Running tasks by team in the latest update sent to peers.
     pub(super) team_use_sent: Vec<(NodeName, u32)>,
     pub(super) config_changed_at: Moment,
     pub(super) gossip_at: Moment,
     pub(super) next_id: u64,
     pub(super) is_stopping: bool,
     pub(super) has_stopped: bool,
-    pub(super) breakage: Option<DisabledCheck>,
+    pub(super) disabled_check: Option<DisabledCheck>,
 }
 
 impl EntryCore {
@@ -94,10 +102,10 @@
             counters: EntryCounters::default(),
             waiters: HashMap::new(),
             forwards: HashMap::new(),
-            questions: HashMap::new(),
+            key_queries: HashMap::new(),
             rebuilds: HashMap::new(),
             sides: BTreeMap::new(),
-            peer_versions: BTreeMap::new(),
+            peer_config_versions: BTreeMap::new(),
             team_use: BTreeMap::new(),
             team_quotas: BTreeMap::new(),
             team_use_sent: Vec::new(),
@@ -106,7 +114,7 @@
             next_id: 1,
             is_stopping: false,
             has_stopped: false,
-            breakage: None,
+            disabled_check: None,
             settings,
         }
     }
@@ -140,8 +148,8 @@
     ///
     /// > **Caution:** only for tests that verify that the missing check is detected.
     #[doc(hidden)]
-    pub fn disable_check(&mut self, breakage: DisabledCheck) {
-        self.breakage = Some(breakage);
+    pub fn disable_check(&mut self, disabled_check: DisabledCheck) {
+        self.disabled_check = Some(disabled_check);
     }
 
     /// Returns the log of the latest decisions.
@@ -179,7 +187,7 @@
         let me = &self.settings.me.id;
         let members = self.membership.roster().map(|roster| &roster.members[..]);
         let peers = members.unwrap_or_default().iter().filter(|m| m.id != *me);
-        let peer_at = |name: &NodeName| self.peer_versions.get(name) >= Some(&version);
+        let peer_at = |name: &NodeName| self.peer_config_versions.get(name) >= Some(&version);
         let peers_at = peers.clone().filter(|m| peer_at(&m.id.name)).count();
         ConfigStatus {
             version,
@@ -192,7 +200,11 @@
     pub fn next_tick(&self, now: Moment) -> Moment {
         let membership = self.membership.next_tick(now);
         let dispatch = self.dispatcher.next_tick(now);
-        let rebuild = self.rebuilds.values().map(|rebuild| rebuild.until).min();
+        let rebuild = self
+            .rebuilds
+            .values()
+            .map(|rebuild| rebuild.expires_at)
+            .min();
         [dispatch, rebuild]
             .into_iter()
             .flatten()
@@ -204,19 +216,19 @@
         let mut out = Vec::new();
         match event {
             EntryEvent::FromCaller { request, ask } => {
-                self.caller_asked(now, request, ask, &mut out)
+                self.on_caller_request(now, request, ask, &mut out)
             }
-            EntryEvent::CallerGone { request } => self.caller_gone(request),
+            EntryEvent::CallerGone { request } => self.on_caller_gone(request),
             EntryEvent::FromSide {
                 side,
                 incarnation,
                 message,
-            } => self.side_sent(now, side, incarnation, message, &mut out),
+            } => self.on_side_message(now, side, incarnation, message, &mut out),
             EntryEvent::SideLost { side, incarnation } => {
                 self.side_lost(now, &side, incarnation, &mut out);
             }
             EntryEvent::FromPeer { peer, message } => {
-                self.peer_sent(now, &peer, message, &mut out);
+                self.on_peer_message(now, &peer, message, &mut out);
             }
             EntryEvent::PeerLost { peer } => self.peer_lost(now, &peer, &mut out),
             EntryEvent::PeerDead { peer } => {
@@ -231,7 +243,7 @@
             EntryEvent::RosterWritten { written } => {
                 self.with_membership(now, &mut out, |m, e| m.roster_written(now, written, e));
             }
-            EntryEvent::Config(delta) => self.config_learned(now, &delta, &mut out),
+            EntryEvent::Config(delta) => self.apply_config(now, &delta, &mut out),
             EntryEvent::VmGone { vm } => self.vm_gone(now, &vm, &mut out),
             EntryEvent::DrainSide { side } => {
                 self.dispatcher.side_leaving(now.monotonic, &side);
@@ -250,7 +262,7 @@
         self.with_dispatcher(now, out, |d, e| d.tick(now.monotonic, e));
         self.ledger.trim(now.wall);
         self.end_due_rebuilds(now, out);
-        self.give_up_late(now, out);
+        self.expire_requests(now, out);
         self.gossip(now, out);
     }
 
@@ -267,7 +279,7 @@
         self.next_id
     }
 
-    // ---- running the parts and passing on what they want ----
+    // ---- calls to the parts, and handling of their effects ----
 
     pub(super) fn with_membership(
         &mut self,
@@ -278,11 +290,11 @@
         let mut effects = Vec::new();
         run(&mut self.membership, &mut effects);
         for effect in effects {
-            self.membership_effect(now, effect, out);
+            self.handle_membership_effect(now, effect, out);
         }
     }
 
-    fn membership_effect(
+    fn handle_membership_effect(
         &mut self,
         now: Now,
         effect: MembershipEffect,
@@ -310,7 +322,7 @@
         self.dispatcher.set_entries(roster.members.len() as u32);
         self.apply_teams();
         out.push(EntryEffect::RosterAdopted(roster));
-        self.resume_questions(now, out);
+        self.restart_all_queries(now, out);
     }
 
     pub(super) fn with_dispatcher<R>(
@@ -322,35 +334,45 @@
         let mut effects = Vec::new();
         let result = run(&mut self.dispatcher, &mut effects);
         for effect in effects {
-            self.dispatch_effect(now, effect, out);
+            self.handle_dispatch_effect(now, effect, out);
         }
         result
     }
 
-    fn dispatch_effect(&mut self, now: Now, effect: DispatchEffect, out: &mut Vec<EntryEffect>) {
+    fn handle_dispatch_effect(
+        &mut self,
+        now: Now,
+        effect: DispatchEffect,
+        out: &mut Vec<EntryEffect>,
+    ) {
         match effect {
             DispatchEffect::ToSide { side, message } => {
                 out.push(EntryEffect::ToSide { side, message });
             }
-            DispatchEffect::AskPeers { demand, running } => {
+            DispatchEffect::RequestCredits { demand, running } => {
                 let message = PeerMessage::WantCredits { demand, running };
-                self.tell_peers(&message, out);
+                self.send_to_peers(&message, out);
             }
             DispatchEffect::Lend { peer, credits } => {
                 let message = PeerMessage::Lend { credits };
                 out.push(EntryEffect::ToPeer { peer, message });
             }
-            DispatchEffect::Ended { key, verdict } => self.ended(key, verdict, out),
-            DispatchEffect::Decided(mut decision) => {
+            DispatchEffect::Ended { key, outcome } => self.on_submission_ended(key, outcome, out),
+            DispatchEffect::RecordDecision(mut decision) => {
                 decision.config_version = self.config.version();
                 self.decisions.record(now.wall, decision);
             }
         }
     }
 
-    fn ended(&mut self, key: SubmissionKey, verdict: Verdict, out: &mut Vec<EntryEffect>) {
-        let reply = match verdict {
-            Verdict::Answered(answer) => {
+    fn on_submission_ended(
+        &mut self,
+        key: SubmissionKey,
+        outcome: SubmissionOutcome,
+        out: &mut Vec<EntryEffect>,
+    ) {
+        let reply = match outcome {
+            SubmissionOutcome::Answered(answer) => {
                 match &answer {
                     SubmissionAnswer::Complete(_) => self.counters.completed += 1,
                     SubmissionAnswer::Failed { reason, .. } => {
@@ -360,7 +382,7 @@
                 let kept = self.ledger.finish(key, answer);
                 Reply::Answered(SubmissionAnswer::clone(&kept))
             }
-            Verdict::Refused(refusal) => {
+            SubmissionOutcome::Refused(refusal) => {
                 *self.counters.refused.entry(refusal.reason).or_default() += 1;
                 self.ledger.withdraw(key);
                 Reply::Refused(refusal)
--- a/crates/mastknot_core/src/entry/entry_settings.rs
+++ b/crates/mastknot_core/src/entry/entry_settings.rs
@@ -13,7 +13,7 @@
 /// Settings of an [`EntryCore`](super::EntryCore).
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Identity and addresses of this entry.
+    /// Identity, address and hall of this entry.
     pub me: Member,
     /// Weights of the policy, used until the configuration provides a profile.
     pub profile: Profile,
--- a/crates/mastknot_core/src/entry/peers.rs
+++ b/crates/mastknot_core/src/entry/peers.rs
@@ -13,7 +13,7 @@
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl EntryCore {
-    pub(super) fn peer_sent(
+    pub(super) fn on_peer_message(
         &mut self,
         now: Now,
         peer: &MemberId,
@@ -30,7 +30,7 @@
                 self.with_membership(now, out, |m, e| {
                     m.peer_connected(now, &member, roster_version, e)
                 });
-                self.peer_config_known(&member.id.name, config_version, out);
+                self.on_peer_config_version(&member.id.name, config_version, out);
             }
             PeerMessage::Confirm { nonce, version } => {
                 self.with_membership(now, out, |m, e| {
@@ -40,7 +40,7 @@
             PeerMessage::Confirmed { nonce, version } => {
                 self.membership.confirmed(now, &peer.name, nonce, version);
             }
-            PeerMessage::NewRoster(roster) => self.roster_told(now, roster, out),
+            PeerMessage::NewRoster(roster) => self.on_roster(now, roster, out),
             PeerMessage::Adopted { version } => {
                 self.membership.peer_adopted(now, &peer.name, version);
             }
@@ -59,16 +59,16 @@
                 let waiter = peer_waiter(peer, request);
                 self.fetch(now, waiter, key, wait, out);
             }
-            PeerMessage::Replied { request, reply } => self.replied(request, reply, out),
+            PeerMessage::Replied { request, reply } => self.on_reply(request, reply, out),
             PeerMessage::AskKey {
                 request,
                 version,
                 key,
                 digest,
                 wait,
-            } => self.key_asked(&peer.name, request, version, key, digest, wait, out),
+            } => self.on_key_query(&peer.name, request, version, key, digest, wait, out),
             PeerMessage::KeyKnown { request, status } => {
-                self.key_known(now, request, status, out);
+                self.on_key_status(now, request, status, out);
             }
             PeerMessage::Handover {
                 records,
@@ -84,13 +84,13 @@
             }
             PeerMessage::WantCredits { demand, running } => {
                 self.with_dispatcher(now, out, |d, e| {
-                    d.peer_wants(now.monotonic, &peer.name, demand, running, e);
+                    d.peer_requested_credits(now.monotonic, &peer.name, demand, running, e);
                 });
             }
             PeerMessage::Lend { credits } => self.borrowed(now, credits, out),
-            PeerMessage::Config(delta) => self.config_learned(now, &delta, out),
+            PeerMessage::Config(delta) => self.apply_config(now, &delta, out),
             PeerMessage::ConfigInForce { version, .. } => {
-                self.peer_config_known(&peer.name, version, out);
+                self.on_peer_config_version(&peer.name, version, out);
             }
             PeerMessage::TeamUse { running } => {
                 self.team_use.insert(peer.name.clone(), running);
@@ -99,7 +99,7 @@
         }
     }
 
-    fn roster_told(&mut self, now: Now, roster: Roster, out: &mut Vec<EntryEffect>) {
+    fn on_roster(&mut self, now: Now, roster: Roster, out: &mut Vec<EntryEffect>) {
         self.with_membership(now, out, |m, e| m.roster_received(now, roster, e));
     }
 
@@ -108,7 +108,7 @@
         self.team_use.remove(&peer.name);
         self.dispatcher.forget_peer(&peer.name);
         self.fail_forwards(&peer.name, out);
-        self.fail_questions(now, peer, out);
+        self.restart_queries_to(now, peer, out);
     }
 
     fn borrowed(&mut self, now: Now, credits: Vec<SideCredit>, out: &mut Vec<EntryEffect>) {
@@ -118,7 +118,7 @@
     // ---- configuration ----
 
     /// Applies configuration from the store or from a peer.
-    pub(super) fn config_learned(
+    pub(super) fn apply_config(
         &mut self,
         now: Now,
         delta: &ConfigDelta,
@@ -136,13 +136,18 @@
         self.apply_teams();
         self.apply_profile();
         out.push(EntryEffect::ConfigAdvanced { version });
-        self.tell_peers(&self.config_in_force(), out);
+        self.send_to_peers(&self.config_in_force(), out);
         self.send_config_to_sides(now, out);
     }
 
     /// Records the version that a peer has in force and sends the peer what it lacks.
-    fn peer_config_known(&mut self, peer: &NodeName, version: u64, out: &mut Vec<EntryEffect>) {
-        self.peer_versions.insert(peer.clone(), version);
+    fn on_peer_config_version(
+        &mut self,
+        peer: &NodeName,
+        version: u64,
+        out: &mut Vec<EntryEffect>,
+    ) {
+        self.peer_config_versions.insert(peer.clone(), version);
         if version < self.config.version() {
             let message = PeerMessage::Config(self.config.delta_since(version));
             let peer = peer.clone();
@@ -150,7 +155,7 @@
         }
     }
 
-    // ---- told unasked ----
+    // ---- periodic updates ----
 
     /// Sends peers this entry's configuration version and the teams that are near their quota, and
     /// sends lagging sides their configuration.
@@ -162,11 +167,11 @@
         self.send_config_to_sides(now, out);
         // Peers vote out a member that is silent for too long, so this message is sent even if
         // nothing has changed.
-        self.tell_peers(&self.config_in_force(), out);
+        self.send_to_peers(&self.config_in_force(), out);
         let running = self.teams_near_quota();
         if running != self.team_use_sent {
             self.team_use_sent = running.clone();
-            self.tell_peers(&PeerMessage::TeamUse { running }, out);
+            self.send_to_peers(&PeerMessage::TeamUse { running }, out);
         }
     }
 
@@ -194,7 +199,7 @@
         }
     }
 
-    pub(super) fn tell_peers(&self, message: &PeerMessage, out: &mut Vec<EntryEffect>) {
+    pub(super) fn send_to_peers(&self, message: &PeerMessage, out: &mut Vec<EntryEffect>) {
         for peer in self.membership.connected() {
             out.push(EntryEffect::ToPeer {
                 peer: peer.clone(),
--- a/crates/mastknot_core/src/entry/rebuild.rs
+++ b/crates/mastknot_core/src/entry/rebuild.rs
@@ -12,7 +12,7 @@
 use crate::types::{Moment, NodeName, Now, SubmissionKey};
 
 /// Time for which a rebuild waits for the answers of sides.
-const PATIENCE: Duration = Duration::from_millis(500);
+const RECALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// State of a query to all sides about one submission.
 #[derive(Clone, Debug)]
@@ -21,8 +21,8 @@
     digest: Option<Digest>,
     waiters: Vec<Waiter>,
     found: BTreeMap<u16, RememberedTask>,
-    awaited: BTreeSet<NodeName>,
-    pub(super) until: Moment,
+    awaited_sides: BTreeSet<NodeName>,
+    pub(super) expires_at: Moment,
 }
 
 impl EntryCore {
@@ -44,10 +44,10 @@
             digest,
             waiters: vec![waiter],
             found: BTreeMap::new(),
-            awaited: self.sides.keys().cloned().collect(),
-            until: now.monotonic + PATIENCE,
+            awaited_sides: self.sides.keys().cloned().collect(),
+            expires_at: now.monotonic + RECALL_TIMEOUT,
         };
-        for side in &rebuild.awaited {
+        for side in &rebuild.awaited_sides {
             out.push(EntryEffect::ToSide {
                 side: side.clone(),
                 message: EntryMessage::Recall { key },
@@ -58,7 +58,7 @@
     }
 
     /// Handles the report of a side on the tasks that it remembers.
-    pub(super) fn remembered(
+    pub(super) fn on_remembered(
         &mut self,
         now: Now,
         side: &NodeName,
@@ -69,7 +69,7 @@
         let Some(rebuild) = self.rebuilds.get_mut(&key) else {
             return;
         };
-        rebuild.awaited.remove(side);
+        rebuild.awaited_sides.remove(side);
         for remembered in tasks {
             let is_done = matches!(remembered.outcome, Some(TaskOutcome::Done(_)));
             let index = remembered.task.index;
@@ -90,14 +90,14 @@
         keys.sort_unstable();
         for key in keys {
             if let Some(rebuild) = self.rebuilds.get_mut(&key) {
-                rebuild.awaited.remove(side);
+                rebuild.awaited_sides.remove(side);
             }
             self.check_rebuild(now, key, out);
         }
     }
 
     pub(super) fn end_due_rebuilds(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
-        let due = |rebuild: &Rebuild| rebuild.until <= now.monotonic;
+        let due = |rebuild: &Rebuild| rebuild.expires_at <= now.monotonic;
         let mut keys: Vec<SubmissionKey> = self
             .rebuilds
             .iter()
@@ -114,7 +114,7 @@
         let Some(rebuild) = self.rebuilds.get(&key) else {
             return;
         };
-        let is_over = rebuild.awaited.is_empty() || rebuild.until <= now.monotonic;
+        let is_over = rebuild.awaited_sides.is_empty() || rebuild.expires_at <= now.monotonic;
         if is_over || all_results(rebuild).is_some() {
             self.end_rebuild(key, out);
         }
--- a/crates/mastknot_core/src/entry/sides.rs
+++ b/crates/mastknot_core/src/entry/sides.rs
@@ -11,10 +11,10 @@
 
 /// Time after which any entry sends the configuration to a lagging side, not only the entry
 /// responsible for it. It is also the minimum time between two deliveries to a side.
-const CONFIG_PATIENCE: Duration = Duration::from_secs(1);
+const CONFIG_RESEND_DELAY: Duration = Duration::from_secs(1);
 
 impl EntryCore {
-    pub(super) fn side_sent(
+    pub(super) fn on_side_message(
         &mut self,
         now: Now,
         side: NodeName,
@@ -37,18 +37,20 @@
             SideMessage::Hello(_) | SideMessage::Heartbeat => {}
             SideMessage::Grant {
                 credits,
-                idle_slots: resting,
+                idle_slots,
             } => {
-                self.with_dispatcher(now, out, |d, e| d.granted(at, &side, &credits, resting, e));
+                self.with_dispatcher(now, out, |d, e| {
+                    d.granted(at, &side, &credits, idle_slots, e)
+                });
             }
             SideMessage::Answer {
                 task,
                 outcome,
                 run_micros,
                 next,
-                idle_slots: resting,
+                idle_slots,
             } => {
-                self.dispatcher.note_resting(at, &side, resting);
+                self.dispatcher.record_idle_slots(at, &side, idle_slots);
                 let run = Duration::from_micros(u64::from(run_micros));
                 self.with_dispatcher(now, out, |d, e| {
                     d.answered(at, &side, incarnation, task, outcome, run, next, e);
@@ -71,7 +73,7 @@
             }
             SideMessage::Leaving => self.dispatcher.side_leaving(at, &side),
             SideMessage::Remembered { key, tasks } => {
-                self.remembered(now, &side, key, tasks, out);
+                self.on_remembered(now, &side, key, tasks, out);
             }
         }
     }
@@ -119,7 +121,7 @@
     // ---- configuration ----
 
     /// Sends lagging sides the configuration that they lack. Sides for which this entry is
-    /// responsible get it at once; the others only if they still lag after [`CONFIG_PATIENCE`].
+    /// responsible get it at once; the others only if they still lag after [`CONFIG_RESEND_DELAY`].
     pub(super) fn send_config_to_sides(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
         let version = self.config.version();
         let lagging: Vec<NodeName> = self
@@ -138,10 +140,10 @@
         let since_sent = link
             .config_sent_at
             .map_or(Duration::MAX, |at| now.since(at));
-        if since_sent < CONFIG_PATIENCE {
+        if since_sent < CONFIG_RESEND_DELAY {
             return false;
         }
-        let is_overdue = now.since(self.config_changed_at) >= CONFIG_PATIENCE;
+        let is_overdue = now.since(self.config_changed_at) >= CONFIG_RESEND_DELAY;
         is_overdue || self.is_responsible_for(side)
     }
 
--- a/crates/mastknot_core/src/entry/stop.rs
+++ b/crates/mastknot_core/src/entry/stop.rs
@@ -26,10 +26,10 @@
         if !self.is_stopping || self.has_stopped {
             return;
         }
-        let is_out = !self.membership.is_member() || self.is_alone();
+        let is_out = !self.membership.is_member() || self.is_only_member();
         let is_quiet = self.dispatcher.active() == 0
             && self.forwards.is_empty()
-            && self.questions.is_empty()
+            && self.key_queries.is_empty()
             && self.rebuilds.is_empty();
         if !is_out || !is_quiet {
             return;
@@ -45,15 +45,15 @@
         let Some(roster) = self.membership.roster().cloned() else {
             return;
         };
-        let mut by_holder: std::collections::BTreeMap<_, Vec<HandoverRecord>> =
+        let mut by_owner: std::collections::BTreeMap<_, Vec<HandoverRecord>> =
             std::collections::BTreeMap::new();
         for record in self.ledger.finished_records() {
-            if let Some(holder) = roster.holder(record.key) {
-                let name = holder.id.name.clone();
-                by_holder.entry(name).or_default().push(record);
+            if let Some(owner) = roster.holder(record.key) {
+                let name = owner.id.name.clone();
+                by_owner.entry(name).or_default().push(record);
             }
         }
-        for (peer, records) in by_holder {
+        for (peer, records) in by_owner {
             for chunk in records.chunks(RECORDS_PER_MESSAGE) {
                 let message = PeerMessage::Handover {
                     records: chunk.to_vec(),
--- a/crates/mastknot_core/src/submission/ledger.rs
+++ b/crates/mastknot_core/src/submission/ledger.rs
@@ -54,7 +54,9 @@
 pub struct Ledger {
     settings: LedgerSettings,
     records: HashMap<SubmissionKey, Record>,
+    /// All keys; they sort by the time at which they were made.
     by_age: BTreeSet<SubmissionKey>,
+    /// Keys of finished submissions in the order in which they finished.
     finished: VecDeque<SubmissionKey>,
     answer_bytes: usize,
     evicted: u64,
