--- a/crates/mastknot_core/src/dispatch/fair_queue.rs
+++ b/crates/mastknot_core/src/dispatch/fair_queue.rs
@@ -146,11 +146,11 @@
 /// # Examples
 ///
 /// ```
-/// use mastknot_core::dispatch::{FairQueue, JobOrder, NewWork};
+/// use mastknot_core::dispatch::{FairQueue, JobOrder, NewSubmission};
 /// use mastknot_core::types::{Moment, SubmissionKey, WallTime};
 ///
 /// let mut queue = FairQueue::new(JobOrder::FirstCome);
-/// let work = |team: &str, random, count| NewWork {
+/// let work = |team: &str, random, count| NewSubmission {
 ///     team: team.into(),
 ///     customer: "customer".into(),
 ///     service: "orders".into(),
--- a/crates/mastknot_core/src/entry/callers.rs
+++ b/crates/mastknot_core/src/entry/callers.rs
@@ -19,8 +19,8 @@
 
 /// Time in milliseconds after a submission's deadline at which the owner's reply counts as lost.
 const OWNER_GRACE_MS: u32 = 500;
-/// Time in milliseconds for which a fetch waits for the owner's reply; [`OWNER_GRACE_MS`] is added to
-/// it.
+/// Time in milliseconds for which a fetch waits for the owner's reply. [`OWNER_GRACE_MS`] is added
+/// to it.
 const FETCH_TIMEOUT_MS: u32 = 60_000;
 
 /// A request that was forwarded to a peer.
