--- a/crates/mastknot_core/src/dispatch/fair_queue.rs
+++ b/crates/mastknot_core/src/dispatch/fair_queue.rs
@@ -1,48 +1,50 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use super::JobOrder;
-use super::fair_level::{FairLevel, Standing};
+use super::fair_level::{FairLevel, Position};
 use crate::types::{Moment, NodeName, SubmissionKey, TaskId};
 
-/// A task that was taken from the queue.
+/// A task taken from the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedTask {
-    /// The task.
+    /// Identifier of the task.
     pub task: TaskId,
-    /// The service that runs it.
+    /// Service that runs the task.
     pub service: NodeName,
-    /// Since when it waited.
+    /// Time at which the submission of the task was queued.
     pub since: Moment,
 }
 
-/// A submission whose tasks are to wait.
+/// A submission to add to the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NewWork {
-    /// Its team.
+pub struct NewSubmission {
+    /// Team of the submission.
     pub team: NodeName,
-    /// The team's customer.
+    /// Customer of the team.
     pub customer: NodeName,
-    /// The service that runs its tasks.
+    /// Service that runs the tasks.
     pub service: NodeName,
-    /// Its key.
+    /// Key of the submission.
     pub key: SubmissionKey,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub count: u16,
-    /// Its deadline.
+    /// Deadline of the submission.
     pub deadline: Moment,
 }
 
 #[derive(Clone, Debug)]
 struct QueuedSubmission {
     service: NodeName,
+    /// Order key by which the customer's submissions are sorted; lower goes first.
     order: u64,
     since: Moment,
+    /// Indexes of the tasks that wait.
     indexes: VecDeque<u16>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct CustomerQueue {
-    /// Work taken so far, in microseconds.
+    /// Work taken so far in microseconds.
     taken: u64,
     order: BTreeSet<(u64, SubmissionKey)>,
     submissions: HashMap<SubmissionKey, QueuedSubmission>,
@@ -50,7 +52,8 @@
 }
 
 impl CustomerQueue {
-    /// Takes the next task of a submission; says whether it was the submission's last.
+    /// Takes the next task of a submission. The flag in the result is true if no task of the
+    /// submission is left in the queue.
     fn take(&mut self, key: SubmissionKey, by_remaining: bool) -> (QueuedTask, bool) {
         self.waiting -= 1;
         let submission = self.submissions.get_mut(&key).expect("submission waits");
@@ -73,7 +76,7 @@
         (task, false)
     }
 
-    /// Removes what waits of a submission; returns how many tasks that were.
+    /// Removes the waiting tasks of a submission and returns their number.
     fn remove(&mut self, key: SubmissionKey) -> u32 {
         let Some(submission) = self.submissions.remove(&key) else {
             return 0;
@@ -84,10 +87,10 @@
         count
     }
 
-    fn standing(&self) -> Option<Standing> {
+    fn position(&self) -> Option<Position> {
         let (head, _) = self.order.first()?;
-        Some(Standing {
-            is_over: false,
+        Some(Position {
+            is_over_limit: false,
             head: *head,
             taken: self.taken,
         })
@@ -99,7 +102,7 @@
     weight: u64,
     limit: u32,
     running: u32,
-    /// Work taken so far, in microseconds, divided by the weight.
+    /// Work taken so far in microseconds, divided by the team's weight.
     taken: u64,
     level: FairLevel,
     customers: HashMap<NodeName, CustomerQueue>,
@@ -107,43 +110,47 @@
 }
 
 impl TeamQueue {
-    fn is_over(&self) -> bool {
+    fn is_over_limit(&self) -> bool {
         self.running >= self.limit
     }
 
-    fn standing(&self) -> Option<Standing> {
+    fn position(&self) -> Option<Position> {
         let head = self.level.first_head()?;
-        Some(Standing {
-            is_over: self.is_over(),
+        Some(Position {
+            is_over_limit: self.is_over_limit(),
             head,
             taken: self.taken,
         })
     }
 
-    /// Changes a customer's queue and puts the customer back in order.
-    fn touch<R>(&mut self, customer: &NodeName, change: impl FnOnce(&mut CustomerQueue) -> R) -> R {
+    /// Changes a customer's queue and updates the customer's position on the level.
+    fn update_customer<R>(
+        &mut self,
+        customer: &NodeName,
+        change: impl FnOnce(&mut CustomerQueue) -> R,
+    ) -> R {
         let queue = self.customers.entry(customer.clone()).or_default();
         let result = change(queue);
-        let standing = queue.standing();
-        self.level.set(customer, standing);
+        let position = queue.position();
+        self.level.set(customer, position);
         result
     }
 }
 
-/// Waiting tasks, shared fairly between teams and between the customers of a team.
+/// Queue of waiting tasks that is shared fairly between teams and between the customers of a team.
 ///
-/// A [`JobOrder`] decides which submission goes next, within bounds: no team may run ahead of
-/// another that waits by more work than the slack (by weight), and no customer ahead of another
-/// of its team. A team at its limit goes only when no team below its own waits.
+/// A [`JobOrder`] decides which submission goes next, within bounds: no team may take more work (by
+/// weight) than another waiting team by more than the slack, and the same holds for the customers
+/// of a team. A team at its limit goes only if no team below its own limit waits.
 ///
 /// # Examples
 ///
 /// ```
-/// use mastknot_core::dispatch::{FairQueue, JobOrder, NewWork};
+/// use mastknot_core::dispatch::{FairQueue, JobOrder, NewSubmission};
 /// use mastknot_core::types::{Moment, SubmissionKey, WallTime};
 ///
 /// let mut queue = FairQueue::new(JobOrder::FirstCome);
-/// let work = |team: &str, random, count| NewWork {
+/// let work = |team: &str, random, count| NewSubmission {
 ///     team: team.into(),
 ///     customer: "customer".into(),
 ///     service: "orders".into(),
@@ -163,49 +170,52 @@
     slack: u64,
     teams: HashMap<NodeName, TeamQueue>,
     level: FairLevel,
-    place: HashMap<SubmissionKey, (NodeName, NodeName)>,
+    /// Team and customer of each submission that has waiting tasks.
+    locations: HashMap<SubmissionKey, (NodeName, NodeName)>,
     arrivals: u64,
     waiting: u32,
-    /// The work taken by those that went last: newcomers start from there.
-    base: u64,
+    /// Virtual time of the queue: the taken work of the teams served last. A team that starts to
+    /// wait begins with at least this value, so idle time gives it no credit.
+    virtual_time: u64,
 }
 
 impl FairQueue {
-    /// An empty queue without slack: plain fair sharing between teams and customers.
+    /// Returns an empty queue with a slack of zero, which shares evenly between teams and
+    /// customers.
     pub fn new(job_order: JobOrder) -> Self {
         Self {
             job_order,
             slack: 0,
             teams: HashMap::new(),
             level: FairLevel::default(),
-            place: HashMap::new(),
+            locations: HashMap::new(),
             arrivals: 0,
             waiting: 0,
-            base: 0,
+            virtual_time: 0,
         }
     }
 
-    /// Sets by how much work, in microseconds, one may run ahead of another.
+    /// Sets the amount of work in microseconds by which a team or customer may be ahead of another.
     pub fn set_slack(&mut self, micros: u64) {
         self.slack = micros;
     }
 
-    /// Tasks that wait.
+    /// Returns the number of waiting tasks.
     pub fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Tasks of a team that wait.
+    /// Returns the number of waiting tasks of a team.
     pub fn team_waiting(&self, team: &NodeName) -> u32 {
         self.teams.get(team).map_or(0, |queue| queue.waiting)
     }
 
-    /// Tasks of a team that run.
+    /// Returns the number of running tasks of a team.
     pub fn team_running(&self, team: &NodeName) -> u32 {
         self.teams.get(team).map_or(0, |queue| queue.running)
     }
 
-    /// Teams with tasks that run, and how many.
+    /// Returns the teams that have running tasks, with their number, sorted by name.
     pub fn running_by_team(&self) -> Vec<(NodeName, u32)> {
         let running = self.teams.iter().filter(|(_, queue)| queue.running > 0);
         let mut list: Vec<_> = running
@@ -215,13 +225,14 @@
         list
     }
 
-    /// The tasks that would go before a new one of this team and customer.
+    /// Estimates the number of waiting tasks that would go before a new task of this team and
+    /// customer.
     pub fn ahead_of(&self, team: &NodeName, customer: &NodeName) -> u32 {
         let Some(queue) = self.teams.get(team) else {
             return 0;
         };
-        let rivals = self.teams.values().filter(|other| other.waiting > 0);
-        let weights: u64 = rivals.map(|other| other.weight).sum();
+        let competitors = self.teams.values().filter(|other| other.waiting > 0);
+        let weights: u64 = competitors.map(|other| other.weight).sum();
         let team_share = weights.max(queue.weight) / queue.weight.max(1);
         let customers = queue.level.len();
         let own = queue.customers.get(customer).map_or(0, |c| c.waiting);
@@ -230,17 +241,17 @@
         by_team.min(u64::from(self.waiting)) as u32
     }
 
-    /// Sets a team's weight and how many tasks it may run here while others wait.
+    /// Sets a team's weight and the number of tasks that it may run here while other teams wait.
     pub fn set_team(&mut self, team: &NodeName, weight: u32, limit: u32) {
-        self.touch_team(team, |queue| {
+        self.update_team(team, |queue| {
             queue.weight = u64::from(weight.max(1));
             queue.limit = limit;
         });
     }
 
-    /// Adds the tasks `0..count` of a submission.
-    pub fn push(&mut self, now: Moment, work: NewWork) {
-        let NewWork {
+    /// Adds a submission with the task indexes `0..count`.
+    pub fn push(&mut self, now: Moment, work: NewSubmission) {
+        let NewSubmission {
             team,
             customer,
             service,
@@ -260,48 +271,54 @@
             since: now,
             indexes: (0..count).collect(),
         };
-        self.place.insert(key, (team.clone(), customer.clone()));
+        self.locations.insert(key, (team.clone(), customer.clone()));
         self.waiting += u32::from(count);
-        let base = self.base;
-        self.touch_team(&team, |queue| {
+        let virtual_time = self.virtual_time;
+        self.update_team(&team, |queue| {
             if queue.waiting == 0 {
-                queue.taken = queue.taken.max(base);
+                queue.taken = queue.taken.max(virtual_time);
             }
             queue.waiting += u32::from(count);
             let least = queue.level.least_taken().unwrap_or(0);
-            queue.touch(&customer, |owner| {
-                if owner.waiting == 0 {
-                    owner.taken = owner.taken.max(least);
+            queue.update_customer(&customer, |customer_queue| {
+                if customer_queue.waiting == 0 {
+                    customer_queue.taken = customer_queue.taken.max(least);
                 }
-                owner.waiting += u32::from(count);
-                owner.order.insert((order, key));
-                owner.submissions.insert(key, submission);
+                customer_queue.waiting += u32::from(count);
+                customer_queue.order.insert((order, key));
+                customer_queue.submissions.insert(key, submission);
             });
         });
     }
 
-    /// Puts a task that did not run back; it keeps its submission's place.
+    /// Puts a task that did not run back into the queue. It goes to the front of its submission.
+    /// The submission keeps its place if other tasks of it wait; otherwise it goes first.
     pub fn put_back(&mut self, team: &NodeName, customer: &NodeName, queued: QueuedTask) {
         let key = queued.task.key;
         self.waiting += 1;
-        self.place.insert(key, (team.clone(), customer.clone()));
-        self.touch_team(team, |queue| {
+        self.locations.insert(key, (team.clone(), customer.clone()));
+        self.update_team(team, |queue| {
             queue.waiting += 1;
-            queue.touch(customer, |owner| {
-                owner.waiting += 1;
-                let submission = owner.submissions.entry(key).or_insert(QueuedSubmission {
-                    service: queued.service,
-                    order: 0,
-                    since: queued.since,
-                    indexes: VecDeque::new(),
-                });
+            queue.update_customer(customer, |customer_queue| {
+                customer_queue.waiting += 1;
+                let submission =
+                    customer_queue
+                        .submissions
+                        .entry(key)
+                        .or_insert(QueuedSubmission {
+                            service: queued.service,
+                            order: 0,
+                            since: queued.since,
+                            indexes: VecDeque::new(),
+                        });
                 submission.indexes.push_front(queued.task.index);
-                owner.order.insert((submission.order, key));
+                customer_queue.order.insert((submission.order, key));
             });
         });
     }
 
-    /// Takes the next task whose service `can_start`; `cost_micros` is what it will take.
+    /// Takes the next task for whose service `can_start` returns true. The estimated run time
+    /// `cost_micros` is added to the work that its team and customer have taken.
     pub fn pop(
         &mut self,
         cost_micros: u64,
@@ -310,21 +327,21 @@
         let (team, customer, key) = self.find(&can_start)?;
         let by_remaining = self.job_order == JobOrder::ShortestRemaining;
         self.waiting -= 1;
-        let (task, taken, is_empty) = self.touch_team(&team, |queue| {
+        let (task, taken, is_empty) = self.update_team(&team, |queue| {
             queue.waiting -= 1;
             queue.running += 1;
             queue.taken += cost_micros / queue.weight;
-            let (task, is_empty) = queue.touch(&customer, |owner| {
-                owner.taken += cost_micros;
-                owner.take(key, by_remaining)
+            let (task, is_empty) = queue.update_customer(&customer, |customer_queue| {
+                customer_queue.taken += cost_micros;
+                customer_queue.take(key, by_remaining)
             });
             (task, queue.taken, is_empty)
         });
-        self.base = self
-            .base
+        self.virtual_time = self
+            .virtual_time
             .max(taken.saturating_sub(cost_micros + self.slack));
         if is_empty {
-            self.place.remove(&key);
+            self.locations.remove(&key);
         }
         Some(task)
     }
@@ -336,11 +353,11 @@
         for team in self.level.order(self.slack) {
             let queue = &self.teams[team];
             for customer in queue.level.order(self.slack) {
-                let owner = &queue.customers[customer];
-                let next = owner
+                let customer_queue = &queue.customers[customer];
+                let next = customer_queue
                     .order
                     .iter()
-                    .find(|(_, key)| can_start(&owner.submissions[key].service));
+                    .find(|(_, key)| can_start(&customer_queue.submissions[key].service));
                 if let Some((_, key)) = next {
                     return Some((team.clone(), customer.clone(), *key));
                 }
@@ -349,44 +366,45 @@
         None
     }
 
-    /// The submission that goes next.
+    /// Returns the key of the submission that goes next.
     pub fn first_key(&self) -> Option<SubmissionKey> {
         self.find(&|_: &NodeName| true).map(|(_, _, key)| key)
     }
 
-    /// The order key of the submission that goes first; lower is more urgent.
+    /// Returns the lowest order key of all waiting submissions; lower is more urgent.
     pub fn first_order(&self) -> Option<u64> {
         self.level.first_head()
     }
 
-    /// Whether a team runs as many tasks as it may while others wait.
+    /// Returns whether a team runs as many tasks as it may while other teams wait.
     pub fn is_over_limit(&self, team: &NodeName) -> bool {
-        self.teams.get(team).is_some_and(TeamQueue::is_over)
+        self.teams.get(team).is_some_and(TeamQueue::is_over_limit)
     }
 
-    /// Notes that a task of a team was started beside the queue.
-    pub fn note_extra_start(&mut self, team: &NodeName) {
-        self.touch_team(team, |queue| queue.running += 1);
+    /// Records that a task of a team was started without being taken from the queue.
+    pub fn record_extra_start(&mut self, team: &NodeName) {
+        self.update_team(team, |queue| queue.running += 1);
     }
 
-    /// Notes that a running task of a team has ended.
-    pub fn note_ended(&mut self, team: &NodeName) {
-        self.touch_team(team, |queue| {
+    /// Records that a running task of a team has ended.
+    pub fn record_ended(&mut self, team: &NodeName) {
+        self.update_team(team, |queue| {
             queue.running = queue.running.saturating_sub(1);
         });
         let is_idle = |queue: &TeamQueue| queue.running == 0 && queue.waiting == 0;
         if self.teams.get(team).is_some_and(is_idle) {
-            self.touch_team(team, |queue| queue.customers.clear());
+            self.update_team(team, |queue| queue.customers.clear());
         }
     }
 
-    /// Removes what waits of a submission; returns how many tasks that were.
+    /// Removes the waiting tasks of a submission and returns their number.
     pub fn remove(&mut self, key: SubmissionKey) -> u32 {
-        let Some((team, customer)) = self.place.remove(&key) else {
+        let Some((team, customer)) = self.locations.remove(&key) else {
             return 0;
         };
-        let removed = self.touch_team(&team, |queue| {
-            let removed = queue.touch(&customer, |owner| owner.remove(key));
+        let removed = self.update_team(&team, |queue| {
+            let removed =
+                queue.update_customer(&customer, |customer_queue| customer_queue.remove(key));
             queue.waiting -= removed;
             removed
         });
@@ -394,8 +412,8 @@
         removed
     }
 
-    /// Changes a team's queue and puts the team back in order.
-    fn touch_team<R>(&mut self, team: &NodeName, change: impl FnOnce(&mut TeamQueue) -> R) -> R {
+    /// Changes a team's queue and updates the team's position on the level.
+    fn update_team<R>(&mut self, team: &NodeName, change: impl FnOnce(&mut TeamQueue) -> R) -> R {
         let queue = self.teams.entry(team.clone()).or_insert_with(|| TeamQueue {
             weight: 1,
             limit: u32::MAX,
@@ -406,8 +424,8 @@
             waiting: 0,
         });
         let result = change(queue);
-        let standing = queue.standing();
-        self.level.set(team, standing);
+        let position = queue.position();
+        self.level.set(team, position);
         result
     }
 }
--- a/crates/mastknot_core/src/dispatch/sides.rs
+++ b/crates/mastknot_core/src/dispatch/sides.rs
@@ -1,30 +1,30 @@
-//! Sides that come, leave, grant, and peers that lend.
+//! Sides that join, leave and grant credits, and peers that request and lend credits.
 
 use super::active_submission::Attempt;
-use super::peer_want::PeerWant;
+use super::peer_request::PeerRequest;
 use super::{DispatchEffect, Dispatcher};
 use crate::message::{Credit, Demand, FailReason, SideCredit, SideHello};
 use crate::types::{Moment, NodeName, TaskId};
 
 impl Dispatcher {
-    /// A side has joined, or a new run of one.
+    /// Handles the join of a side, or of a new incarnation of a known side.
     pub fn side_joined(&mut self, now: Moment, hello: SideHello, out: &mut Vec<DispatchEffect>) {
         let name = hello.side.clone();
         self.side_left(now, &name, out);
-        self.pool.join(now, hello);
-        self.ask_for_reserve(now, &name, out);
+        self.pool.add_side(now, hello);
+        self.request_reserve(now, &name, out);
     }
 
-    /// The link to a side is gone: what ran there has an unknown outcome.
+    /// Handles the loss of the link to a side. Attempts on the side have an unknown outcome.
     pub fn side_left(&mut self, now: Moment, side: &NodeName, out: &mut Vec<DispatchEffect>) {
         if self.pool.side(side).is_none() {
             return;
         }
-        self.pool.leave(now, side);
+        self.pool.remove_side(now, side);
         for (task, attempt) in self.attempts_on(side) {
             self.attempt_lost(now, task, attempt, FailReason::SideLost, out);
         }
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
     pub(super) fn attempts_on(&self, side: &NodeName) -> Vec<(TaskId, Attempt)> {
@@ -43,7 +43,8 @@
         found
     }
 
-    /// A side is leaving: its credits are dropped and it gets nothing new.
+    /// Handles the announcement that a side is leaving: drops its credits and starts no new tasks
+    /// on it.
     pub fn side_leaving(&mut self, now: Moment, side: &NodeName) {
         self.pool.update(now, side, |side| {
             side.is_leaving = true;
@@ -51,18 +52,18 @@
         });
     }
 
-    /// A side granted credits.
+    /// Handles a grant of credits by a side.
     pub fn granted(
         &mut self,
         now: Moment,
         side: &NodeName,
         credits: &[Credit],
-        resting: u16,
+        idle_slots: u16,
         out: &mut Vec<DispatchEffect>,
     ) {
-        self.note_resting(now, side, resting);
+        self.record_idle_slots(now, side, idle_slots);
         self.keep(now, side, credits, false);
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
     pub(super) fn keep(
@@ -81,8 +82,8 @@
         self.counters.credits_received += kept.unwrap_or(0) as u64;
     }
 
-    /// A peer has tasks waiting and too few credits.
-    pub fn peer_wants(
+    /// Handles the request of a peer that has waiting tasks and too few credits.
+    pub fn peer_requested_credits(
         &mut self,
         now: Moment,
         peer: &NodeName,
@@ -90,25 +91,26 @@
         running: u32,
         out: &mut Vec<DispatchEffect>,
     ) {
-        self.peer_wants
+        self.peer_requests
             .entry(peer.clone())
-            .and_modify(|want| want.state_again(now, demand, running))
-            .or_insert_with(|| PeerWant::new(now, demand, running));
+            .and_modify(|request| request.update(now, demand, running))
+            .or_insert_with(|| PeerRequest::new(now, demand, running));
         self.counters.credits_lapsed += self.pool.drop_expired(now);
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 
-    /// A peer is gone, and what it wanted with it.
+    /// Forgets a lost peer and its request for credits.
     pub fn forget_peer(&mut self, peer: &NodeName) {
-        self.peer_wants.remove(peer);
+        self.peer_requests.remove(peer);
     }
 
-    /// A side said how many of its slots are neither taken nor granted.
-    pub fn note_resting(&mut self, now: Moment, side: &NodeName, resting: u16) {
-        self.pool.update(now, side, |side| side.resting = resting);
+    /// Records the number of slots that a side reports as neither in use nor granted.
+    pub fn record_idle_slots(&mut self, now: Moment, side: &NodeName, idle_slots: u16) {
+        self.pool
+            .update(now, side, |side| side.idle_slots = idle_slots);
     }
 
-    /// A peer lent credits.
+    /// Adds credits lent by a peer.
     pub fn borrowed(
         &mut self,
         now: Moment,
@@ -119,6 +121,6 @@
         for lent in credits {
             self.keep(now, &lent.side, &[lent.credit], true);
         }
-        self.pump(now, out);
+        self.spend_credits(now, out);
     }
 }
--- a/crates/mastknot_core/src/dispatch/starting.rs
+++ b/crates/mastknot_core/src/dispatch/starting.rs
@@ -1,4 +1,4 @@
-//! Spending credits on waiting tasks, here or at a peer.
+//! Use of credits for waiting tasks of this entry or of a peer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::message::{CreditSeq, EntryMessage, FailReason, SideCredit, TaskOrder};
 use crate::types::{Moment, NodeName, TaskId};
 
-/// The longest time over which the peak of running tasks is remembered.
+/// Time after which a recorded peak of running tasks is replaced by the current number.
 const PEAK_WINDOW: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
-    /// Spends credits on waiting tasks, here or at a peer that has something more urgent, until
-    /// the one or the other runs out.
-    pub(super) fn pump(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
+    /// Spends idle credits on waiting tasks, or lends them to a peer with more urgent tasks, until
+    /// the credits or the tasks run out.
+    pub(super) fn spend_credits(&mut self, now: Moment, out: &mut Vec<DispatchEffect>) {
         let mut lent: BTreeMap<NodeName, Vec<SideCredit>> = BTreeMap::new();
         while self.pool.idle() > 0 {
-            if let Some(peer) = self.peer_to_serve(now, !lent.is_empty()) {
+            if let Some(peer) = self.peer_to_lend_to(now, !lent.is_empty()) {
                 if !self.lend_one(now, &peer, &mut lent) {
                     break;
                 }
@@ -31,32 +31,34 @@
             out.push(DispatchEffect::Lend { peer, credits });
         }
         if self.queue.waiting() > 0 {
-            self.ask(now, out);
+            self.request_credits(now, out);
         }
     }
 
-    /// The peer that the next idle credit goes to, if it does not stay here.
+    /// Returns the peer to lend the next idle credit to, or `None` if the credit stays here.
     ///
-    /// While nothing waits here there is no hurry: a batch is collected first.
-    pub(super) fn peer_to_serve(&self, now: Moment, is_lending: bool) -> Option<NodeName> {
-        if self.peer_wants.is_empty() {
+    /// While no task waits here, credits are collected and lent in a batch.
+    pub(super) fn peer_to_lend_to(&self, now: Moment, is_lending: bool) -> Option<NodeName> {
+        if self.peer_requests.is_empty() {
             return None;
         }
         let own = self.queue.first_order();
         if own.is_none() && self.pool.idle() <= self.kept_credits() {
             return None;
         }
-        let (peer, want) = self
-            .peer_wants
+        let (peer, request) = self
+            .peer_requests
             .iter()
-            .filter(|(_, want)| want.counts(now) && want.goes_first(now, own, self.running))
-            .min_by_key(|(_, want)| want.demand.urgency)?;
-        let batch = want.demand.wanted.min(self.profile.lend_batch) as usize;
+            .filter(|(_, request)| {
+                request.is_open(now) && request.takes_precedence(now, own, self.running)
+            })
+            .min_by_key(|(_, request)| request.demand.urgency)?;
+        let batch = request.demand.wanted.min(self.profile.lend_batch) as usize;
         let may_lend = is_lending || own.is_some() || self.pool.idle() >= batch;
         may_lend.then(|| peer.clone())
     }
 
-    /// Idle credits that are not lent while nothing waits here.
+    /// Returns the number of idle credits that are not lent while no task waits here.
     pub(super) fn kept_credits(&self) -> usize {
         let all = self.running as usize + self.pool.idle();
         all * self.profile.keep_credits_percent as usize / 100
@@ -71,8 +73,8 @@
         let Some(credit) = self.pool.lend_one(now) else {
             return false;
         };
-        if let Some(want) = self.peer_wants.get_mut(peer) {
-            want.note_lent();
+        if let Some(request) = self.peer_requests.get_mut(peer) {
+            request.record_lent();
         }
         lent.entry(peer.clone()).or_default().push(credit);
         true
@@ -87,7 +89,7 @@
         let task = queued.task;
         if self.is_too_late(now, task) {
             let team = self.active[&task.key].team.clone();
-            self.queue.note_ended(&team);
+            self.queue.record_ended(&team);
             self.fail(now, task.key, FailReason::DeadlinePassed, out);
             return true;
         }
@@ -96,18 +98,19 @@
         };
         let had_to_wait = now > queued.since;
         self.start_rate.record(now, had_to_wait);
-        self.retry_budget.note_first_start();
+        self.retry_budget.record_first_start();
         let decision = Decision::new(task.key, Rule::BestCredit)
             .task(task.index)
             .chosen(side.clone(), candidates)
             .waited(now.since(queued.since));
-        out.push(DispatchEffect::Decided(decision));
+        out.push(DispatchEffect::RecordDecision(decision));
         self.send_start(now, task, side, credit, queued.since, out);
         true
     }
 
-    /// Whether nothing of a submission has started and its deadline leaves no time for a task:
-    /// it is refused, truthfully "not run", and its slot goes to one that can be done.
+    /// Returns whether no task of a submission has started and its deadline leaves no time to run
+    /// one. Such a submission is refused as "not run", and its slot goes to a submission that can
+    /// meet its deadline.
     fn is_too_late(&self, now: Moment, task: TaskId) -> bool {
         let submission = &self.active[&task.key];
         if !submission.attempts.is_empty() || submission.may_have_run {
@@ -141,7 +144,7 @@
         let incarnation = self
             .pool
             .update(now, &side, |side| {
-                side.told_at = Some(now);
+                side.demand_sent_at = Some(now);
                 side.incarnation()
             })
             .expect("a credit was taken from this side");
@@ -175,7 +178,7 @@
             self.hedges.insert((now + after, task.key));
         }
         self.running += 1;
-        self.note_peak(now);
+        self.update_peak(now);
         self.counters.starts += 1;
         let message = EntryMessage::Start {
             incarnation,
@@ -186,7 +189,7 @@
         out.push(DispatchEffect::ToSide { side, message });
     }
 
-    pub(super) fn note_peak(&mut self, now: Moment) {
+    pub(super) fn update_peak(&mut self, now: Moment) {
         let is_old = now.since(self.peak_at) > PEAK_WINDOW;
         if self.running >= self.peak_running || is_old {
             self.peak_running = self.running;
--- a/crates/mastknot_core/src/entry/callers.rs
+++ b/crates/mastknot_core/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: refuse, forward, accept, or ask an earlier holder first.
+//! Requests of callers: refusal, forwarding, acceptance, and queries to earlier owners of a key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,41 +12,43 @@
 use crate::submission::{Ledger, Lookup};
 use crate::types::{Moment, NodeName, Now, SubmissionKey};
 
-/// When to come back while the roster changes, in milliseconds.
+/// Retry delay in milliseconds in refusals while the roster changes.
 const ROSTER_RETRY_AFTER_MS: u32 = 500;
-/// When to come back while the ledger is full, in milliseconds.
+/// Retry delay in milliseconds in refusals while the ledger is full.
 const LEDGER_RETRY_AFTER_MS: u32 = 5_000;
 
-/// What a holder may take beyond a deadline before its answer counts as lost, in milliseconds.
-const HOLDER_GRACE_MS: u32 = 500;
-/// How long a fetch may wait for its holder, in milliseconds.
-const FETCH_LIMIT_MS: u32 = 60_000;
+/// Time in milliseconds after a submission's deadline at which the owner's reply counts as lost.
+const OWNER_GRACE_MS: u32 = 500;
+/// Time in milliseconds for which a fetch waits for the owner's reply. [`OWNER_GRACE_MS`] is added
+/// to it.
+const FETCH_TIMEOUT_MS: u32 = 60_000;
 
-/// A request that was sent on to a peer.
+/// A request that was forwarded to a peer.
 #[derive(Clone, Debug)]
 pub(super) struct Forwarded {
     pub(super) waiter: Waiter,
     pub(super) peer: NodeName,
-    /// When the caller is told that the outcome is unknown.
-    pub(super) until: Moment,
+    /// Time at which the caller is informed that the outcome is unknown.
+    pub(super) expires_at: Moment,
 }
 
-/// A submission that waits for what earlier holders know of its key.
+/// A submission that waits until the earlier owners of its key have reported whether they accepted
+/// it.
 #[derive(Clone, Debug)]
-pub(super) struct Question {
+pub(super) struct KeyQuery {
     pub(super) waiter: Waiter,
     pub(super) wait: bool,
     pub(super) submission: Submission,
-    /// The earlier holder that is asked now.
+    /// Earlier owner that is being queried.
     pub(super) peer: MemberId,
-    /// When the caller is told that the outcome is unknown.
-    pub(super) until: Moment,
-    /// Those that have said that they never accepted the key.
-    pub(super) cleared: Vec<MemberId>,
+    /// Time at which the caller is informed that the outcome is unknown.
+    pub(super) expires_at: Moment,
+    /// Earlier owners that have reported that they never accepted the key.
+    pub(super) cleared_by: Vec<MemberId>,
 }
 
 impl EntryCore {
-    pub(super) fn caller_asked(
+    pub(super) fn on_caller_request(
         &mut self,
         now: Now,
         request: RequestId,
@@ -62,8 +64,8 @@
         }
     }
 
-    /// The caller's submission goes on; only the reply has nobody left to go to.
-    pub(super) fn caller_gone(&mut self, request: RequestId) {
+    /// Forgets a caller that has disconnected. Its submission continues, only the reply is dropped.
+    pub(super) fn on_caller_gone(&mut self, request: RequestId) {
         let gone = Waiter::Caller(request);
         for waiters in self.waiters.values_mut() {
             waiters.retain(|waiter| *waiter != gone);
@@ -84,7 +86,7 @@
         }
         match self.ledger.check_age(now.wall, submission.key) {
             Ok(()) => Ok(()),
-            // The system may have run it before it forgot the key.
+            // The system may have run the submission before it forgot the key.
             Err(RefusalReason::KeyTooOld) => Err(Refusal::unknown(RefusalReason::KeyTooOld)),
             Err(reason) => Err(Refusal::not_run(reason)),
         }
@@ -102,11 +104,11 @@
             return self.refuse(&waiter, refusal, out);
         }
         let digest = submission.digest();
-        if self.breakage == Some(DisabledCheck::Resubmission) {
+        if self.disabled_check == Some(DisabledCheck::Resubmission) {
             self.ledger = Ledger::new(self.settings.ledger);
         }
         match self.ledger.look_up(submission.key, digest) {
-            Lookup::Absent => self.submit_unknown(now, waiter, submission, wait, out),
+            Lookup::Absent => self.submit_new(now, waiter, submission, wait, out),
             Lookup::Reused => {
                 let refusal = Refusal::not_run(RefusalReason::KeyReused);
                 self.refuse(&waiter, refusal, out);
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Replies from the ledger, or joins those who wait for the answer.
+    /// Replies from the ledger, or adds the waiter to those that get the answer later.
     fn reply_known(
         &mut self,
         waiter: Waiter,
@@ -144,7 +146,7 @@
         }
     }
 
-    fn submit_unknown(
+    fn submit_new(
         &mut self,
         now: Now,
         waiter: Waiter,
@@ -154,14 +156,15 @@
     ) {
         let mut acceptance = self.membership.acceptance(now, submission.key);
         let is_earlier = matches!(acceptance, Acceptance::Ask(_) | Acceptance::Unknown);
-        if is_earlier && self.breakage == Some(DisabledCheck::EarlierOwners) {
+        if is_earlier && self.disabled_check == Some(DisabledCheck::EarlierOwners) {
             acceptance = Acceptance::Yes;
         }
         match acceptance {
             Acceptance::Yes => self.accept(now, waiter, submission, wait, out),
-            Acceptance::HeldBy(holder) => {
+            Acceptance::HeldBy(owner) => {
                 if matches!(waiter, Waiter::Peer { .. }) {
-                    // The sender's roster differs from this one; a second hop could go in circles.
+                    // The sender's roster differs from this entry's; a second hop could lead to a
+                    // forwarding loop.
                     let refusal = Refusal::unknown(RefusalReason::NoAuthority);
                     return self.refuse(
                         &waiter,
@@ -169,8 +172,8 @@
                         out,
                     );
                 }
-                let until = self.give_up_at(now, submission.deadline_ms);
-                self.forward(waiter, &holder.id.name, until, out, |request| {
+                let expires_at = self.reply_expiry(now, submission.deadline_ms);
+                self.forward(waiter, &owner.id.name, expires_at, out, |request| {
                     PeerMessage::Forward {
                         request,
                         wait,
@@ -184,7 +187,8 @@
                 } else {
                     RefusalReason::NoAuthority
                 };
-                // Only a holder with authority knows that no earlier copy of this key has run.
+                // Only an owner with authority can rule out that an earlier submission of this key
+                // has run.
                 let refusal = Refusal::unknown(reason).retry_after_ms(ROSTER_RETRY_AFTER_MS);
                 self.refuse(&waiter, refusal, out);
             }
@@ -193,17 +197,17 @@
                     .retry_after_ms(left.as_millis() as u32 + 1);
                 self.refuse(&waiter, refusal, out);
             }
-            Acceptance::Ask(holders) => {
-                let until = self.give_up_at(now, submission.deadline_ms);
-                let question = Question {
+            Acceptance::Ask(owners) => {
+                let expires_at = self.reply_expiry(now, submission.deadline_ms);
+                let query = KeyQuery {
                     waiter,
                     wait,
                     submission,
                     peer: self.settings.me.id.clone(),
-                    until,
-                    cleared: Vec::new(),
+                    expires_at,
+                    cleared_by: Vec::new(),
                 };
-                self.ask_holders(now, question, holders, out);
+                self.query_earlier_owners(now, query, owners, out);
             }
             Acceptance::Unknown => {
                 self.rebuild(now, waiter, submission.key, Some(submission.digest()), out);
@@ -219,7 +223,7 @@
         wait: bool,
         out: &mut Vec<EntryEffect>,
     ) {
-        if self.is_stopping && self.is_alone() {
+        if self.is_stopping && self.is_only_member() {
             let refusal = Refusal::not_run(RefusalReason::Stopping);
             return self.refuse(&waiter, refusal.retry_after_ms(ROSTER_RETRY_AFTER_MS), out);
         }
@@ -261,12 +265,13 @@
         &mut self,
         waiter: Waiter,
         peer: &NodeName,
-        until: Moment,
+        expires_at: Moment,
         out: &mut Vec<EntryEffect>,
         message: impl FnOnce(u64) -> PeerMessage,
     ) {
         if !self.membership.is_connected(peer) {
-            // This copy has not run; an earlier one may have, and only the holder knows.
+            // This submission has not run, but an earlier one with the same key may have; only the
+            // owner knows.
             let refusal = Refusal::unknown(RefusalReason::HolderUnreachable);
             return self.refuse(&waiter, refusal.retry_after_ms(ROSTER_RETRY_AFTER_MS), out);
         }
@@ -276,7 +281,7 @@
         let forwarded = Forwarded {
             waiter,
             peer: peer.clone(),
-            until,
+            expires_at,
         };
         self.forwards.insert(request, forwarded);
         let message = message(request);
@@ -296,9 +301,9 @@
             return self.reply_known(waiter, key, known, wait, out);
         }
         match self.membership.acceptance(now, key) {
-            Acceptance::HeldBy(holder) if matches!(waiter, Waiter::Caller(_)) => {
-                let until = self.give_up_at(now, FETCH_LIMIT_MS);
-                self.forward(waiter, &holder.id.name, until, out, |request| {
+            Acceptance::HeldBy(owner) if matches!(waiter, Waiter::Caller(_)) => {
+                let expires_at = self.reply_expiry(now, FETCH_TIMEOUT_MS);
+                self.forward(waiter, &owner.id.name, expires_at, out, |request| {
                     PeerMessage::Fetch { request, wait, key }
                 });
             }
@@ -314,20 +319,20 @@
         }
     }
 
-    /// A holder replied to something that was forwarded.
-    pub(super) fn replied(&mut self, request: u64, reply: Reply, out: &mut Vec<EntryEffect>) {
+    /// Handles the reply of an owner to a forwarded request.
+    pub(super) fn on_reply(&mut self, request: u64, reply: Reply, out: &mut Vec<EntryEffect>) {
         let forwarded = self.forwards.remove(&request).map(|f| f.waiter);
-        let asked = || self.questions.remove(&request).map(|q| q.waiter);
+        let asked = || self.key_queries.remove(&request).map(|q| q.waiter);
         match forwarded.or_else(asked) {
             Some(waiter) => self.reply(&waiter, reply, out),
             None => self.counters.unmatched_replies += 1,
         }
     }
 
-    /// What was forwarded to a lost peer may have run there.
+    /// Fails the requests that were forwarded to a lost peer. They may have run there.
     pub(super) fn fail_forwards(&mut self, peer: &NodeName, out: &mut Vec<EntryEffect>) {
         let forwards = self.forwards.iter();
-        for request in sorted(forwards.filter(|(_, forwarded)| forwarded.peer == *peer)) {
+        for request in sorted_ids(forwards.filter(|(_, forwarded)| forwarded.peer == *peer)) {
             let Some(forwarded) = self.forwards.remove(&request) else {
                 continue;
             };
@@ -337,48 +342,49 @@
         }
     }
 
-    fn give_up_at(&self, now: Now, deadline_ms: u32) -> Moment {
-        now.monotonic + Duration::from_millis(u64::from(deadline_ms + HOLDER_GRACE_MS))
+    fn reply_expiry(&self, now: Now, deadline_ms: u32) -> Moment {
+        now.monotonic + Duration::from_millis(u64::from(deadline_ms + OWNER_GRACE_MS))
     }
 
-    /// Tells callers whose holder has said nothing for too long that the outcome is unknown.
-    pub(super) fn give_up_late(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
-        let is_late = |until: Moment| until <= now.monotonic;
+    /// Informs callers whose owner has not replied in time that the outcome is unknown.
+    pub(super) fn expire_requests(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
+        let is_late = |expires_at: Moment| expires_at <= now.monotonic;
         let forwards = self.forwards.iter();
-        for request in sorted(forwards.filter(|(_, forwarded)| is_late(forwarded.until))) {
+        for request in sorted_ids(forwards.filter(|(_, forwarded)| is_late(forwarded.expires_at))) {
             if let Some(forwarded) = self.forwards.remove(&request) {
                 let refusal = Refusal::unknown(RefusalReason::HolderLost);
                 self.refuse(&forwarded.waiter, refusal, out);
             }
         }
-        let questions = self.questions.iter();
-        for request in sorted(questions.filter(|(_, question)| is_late(question.until))) {
-            if let Some(question) = self.questions.remove(&request) {
+        let key_queries = self.key_queries.iter();
+        for request in sorted_ids(key_queries.filter(|(_, query)| is_late(query.expires_at))) {
+            if let Some(query) = self.key_queries.remove(&request) {
                 let refusal = Refusal::unknown(RefusalReason::OutcomeUnknown);
                 let refusal = refusal.retry_after_ms(ROSTER_RETRY_AFTER_MS);
-                self.refuse(&question.waiter, refusal, out);
+                self.refuse(&query.waiter, refusal, out);
             }
         }
     }
 
-    // ---- asking earlier holders ----
+    // ---- queries to earlier owners ----
 
-    /// Asks the first earlier holder that has not cleared the key, or accepts if all have.
-    fn ask_holders(
+    /// Queries the first earlier owner that has not cleared the key, or accepts the submission if
+    /// all have.
+    fn query_earlier_owners(
         &mut self,
         now: Now,
-        mut question: Question,
-        holders: Vec<MemberId>,
+        mut query: KeyQuery,
+        owners: Vec<MemberId>,
         out: &mut Vec<EntryEffect>,
     ) {
-        let is_open = |id: &MemberId| !question.cleared.contains(id);
-        let Some(peer) = holders.into_iter().find(is_open) else {
-            let Question {
+        let is_open = |id: &MemberId| !query.cleared_by.contains(id);
+        let Some(peer) = owners.into_iter().find(is_open) else {
+            let KeyQuery {
                 waiter,
                 wait,
                 submission,
                 ..
-            } = question;
+            } = query;
             return self.accept(now, waiter, submission, wait, out);
         };
         self.counters.keys_asked += 1;
@@ -386,93 +392,89 @@
         let message = PeerMessage::AskKey {
             request,
             version: self.membership.version(),
-            key: question.submission.key,
-            digest: question.submission.digest(),
-            wait: question.wait,
+            key: query.submission.key,
+            digest: query.submission.digest(),
+            wait: query.wait,
         };
         out.push(EntryEffect::ToPeer {
             peer: peer.name.clone(),
             message,
         });
-        question.peer = peer;
-        self.questions.insert(request, question);
+        query.peer = peer;
+        self.key_queries.insert(request, query);
     }
 
-    /// An earlier holder said what it knows of a key.
-    pub(super) fn key_known(
+    /// Handles the report of an earlier owner on a key.
+    pub(super) fn on_key_status(
         &mut self,
         now: Now,
         request: u64,
         status: KeyStatus,
         out: &mut Vec<EntryEffect>,
     ) {
-        let Some(mut question) = self.questions.remove(&request) else {
+        let Some(mut query) = self.key_queries.remove(&request) else {
             self.counters.unmatched_replies += 1;
             return;
         };
         match status {
-            KeyStatus::Held(reply) => self.reply(&question.waiter, reply, out),
+            KeyStatus::Held(reply) => self.reply(&query.waiter, reply, out),
             KeyStatus::Unknown => {
                 let refusal = Refusal::unknown(RefusalReason::OutcomeUnknown);
-                self.refuse(&question.waiter, refusal, out);
+                self.refuse(&query.waiter, refusal, out);
             }
             KeyStatus::NeverAccepted => {
-                question.cleared.push(question.peer.clone());
-                self.go_on_asking(now, question, out);
+                query.cleared_by.push(query.peer.clone());
+                self.continue_query(now, query, out);
             }
         }
     }
 
-    fn go_on_asking(&mut self, now: Now, question: Question, out: &mut Vec<EntryEffect>) {
-        let key = question.submission.key;
-        // While the question was out, another copy may have been accepted.
+    fn continue_query(&mut self, now: Now, query: KeyQuery, out: &mut Vec<EntryEffect>) {
+        let key = query.submission.key;
+        // Another submission of the key may have been accepted while the query was open.
         let is_absent = self.ledger.find(key) == Lookup::Absent;
         match self.membership.acceptance(now, key) {
-            Acceptance::Ask(holders) if is_absent => self.ask_holders(now, question, holders, out),
-            _ => self.submit(
-                now,
-                question.waiter,
-                question.submission,
-                question.wait,
-                out,
-            ),
+            Acceptance::Ask(owners) if is_absent => {
+                self.query_earlier_owners(now, query, owners, out)
+            }
+            _ => self.submit(now, query.waiter, query.submission, query.wait, out),
         }
     }
 
-    /// The roster changed: open questions were asked under the old one.
-    pub(super) fn resume_questions(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
-        self.restart_questions(now, |_| true, out);
+    /// Repeats all open queries after a change of the roster, since they were made under the old
+    /// roster.
+    pub(super) fn restart_all_queries(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
+        self.restart_queries(now, |_| true, out);
     }
 
-    /// A peer was lost: questions to it get no answer.
-    pub(super) fn fail_questions(&mut self, now: Now, peer: &MemberId, out: &mut Vec<EntryEffect>) {
+    /// Repeats the queries that a lost peer can no longer answer.
+    pub(super) fn restart_queries_to(
+        &mut self,
+        now: Now,
+        peer: &MemberId,
+        out: &mut Vec<EntryEffect>,
+    ) {
         let lost = peer.clone();
-        self.restart_questions(now, move |question| question.peer == lost, out);
+        self.restart_queries(now, move |query| query.peer == lost, out);
     }
 
-    fn restart_questions(
+    fn restart_queries(
         &mut self,
         now: Now,
-        which: impl Fn(&Question) -> bool,
+        which: impl Fn(&KeyQuery) -> bool,
         out: &mut Vec<EntryEffect>,
     ) {
-        let questions = self.questions.iter();
-        for request in sorted(questions.filter(|(_, question)| which(question))) {
-            if let Some(question) = self.questions.remove(&request) {
-                self.submit(
-                    now,
-                    question.waiter,
-                    question.submission,
-                    question.wait,
-                    out,
-                );
+        let key_queries = self.key_queries.iter();
+        for request in sorted_ids(key_queries.filter(|(_, query)| which(query))) {
+            if let Some(query) = self.key_queries.remove(&request) {
+                self.submit(now, query.waiter, query.submission, query.wait, out);
             }
         }
     }
 
-    /// A new holder asks what this entry knows of a key that it may have held.
+    /// Answers the query of a new owner for a key that this entry may have owned earlier.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn key_asked(
+    pub(super) fn on_key_query(
         &mut self,
         peer: &NodeName,
         request: u64,
@@ -497,7 +499,7 @@
                 KeyStatus::Held(Reply::Pending { done, count })
             }
             Lookup::Active => {
-                // The asker's caller gets the answer when it is there.
+                // The querying entry gets the answer when the submission ends.
                 let waiter = Waiter::Peer {
                     peer: peer.clone(),
                     request,
@@ -511,15 +513,16 @@
         out.push(EntryEffect::ToPeer { peer, message });
     }
 
-    pub(super) fn is_alone(&self) -> bool {
+    pub(super) fn is_only_member(&self) -> bool {
         self.membership
             .roster()
             .is_none_or(|roster| roster.members.len() <= 1)
     }
 }
 
-/// The numbers of open requests in order: a map's own order differs from run to run.
-fn sorted<'a, T: 'a>(open: impl Iterator<Item = (&'a u64, &'a T)>) -> Vec<u64> {
+/// Returns the ids of open requests in ascending order, because the iteration order of a `HashMap`
+/// differs between runs.
+fn sorted_ids<'a, T: 'a>(open: impl Iterator<Item = (&'a u64, &'a T)>) -> Vec<u64> {
     let mut requests: Vec<u64> = open.map(|(request, _)| *request).collect();
     requests.sort_unstable();
     requests
--- a/crates/mastknot_core/src/entry/entry_core.rs
+++ b/crates/mastknot_core/src/entry/entry_core.rs
@@ -6,22 +6,24 @@
 use super::{ConfigStatus, EntryCounters, EntryEffect, EntryEvent, EntrySettings, RequestId};
 use crate::config::{ConfigReplica, Profile, Service, Team};
 use crate::decision::DecisionLog;
-use crate::dispatch::{DispatchCounters, DispatchEffect, Dispatcher, SideStatus, Verdict};
+use crate::dispatch::{
+    DispatchCounters, DispatchEffect, Dispatcher, SideStatus, SubmissionOutcome,
+};
 use crate::message::{PeerMessage, Reply, SubmissionAnswer};
 use crate::roster::{Membership, MembershipEffect, Roster};
 use crate::submission::Ledger;
 use crate::types::{Incarnation, Moment, NodeName, Now, SubmissionKey};
 
-/// Who waits for the answer to a submission.
+/// Recipient of the answer to a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Waiter {
     /// A caller of this entry.
     Caller(RequestId),
-    /// A peer that forwarded the submission.
+    /// A peer that forwarded the submission or queried its key.
     Peer { peer: NodeName, request: u64 },
 }
 
-/// What an entry knows of a connected side besides its credits.
+/// State of a connected side, apart from its credits.
 #[derive(Clone, Debug)]
 pub(super) struct SideLink {
     pub(super) incarnation: Incarnation,
@@ -29,31 +31,31 @@
     pub(super) config_sent_at: Option<Moment>,
 }
 
-/// A submission that has no answer yet, as operators see it.
+/// A submission without an answer, as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LiveSubmission {
-    /// Its key.
+    /// Key of the submission.
     pub key: String,
-    /// Tasks that have answered.
+    /// Number of answered tasks.
     pub done: u16,
-    /// Tasks in all.
+    /// Total number of tasks.
     pub count: u16,
 }
 
-/// A protection that is switched off, so that tests can show that its absence is noticed.
+/// A safety check to disable, so that tests can show that they detect its absence.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisabledCheck {
-    /// Resubmissions are not recognised.
+    /// Recognition of resubmitted keys.
     Resubmission,
-    /// Keys of earlier holders are accepted without a question.
+    /// Query to the earlier owners of a key before it is accepted.
     EarlierOwners,
 }
 
 /// The core of an entry process.
 ///
-/// It joins the roster, the ledger, the dispatcher and the configuration. All decisions of an
-/// entry are made in [`EntryCore::step`].
+/// Combines the roster, the ledger, the dispatcher and the configuration. All decisions of an entry
+/// are made in [`EntryCore::step`].
 #[derive(Clone, Debug)]
 pub struct EntryCore {
     pub(super) settings: EntrySettings,
@@ -63,25 +65,31 @@
     pub(super) config: ConfigReplica,
     pub(super) decisions: DecisionLog,
     pub(super) counters: EntryCounters,
+    /// Recipients of the answer, for each submission that has no answer yet.
     pub(super) waiters: HashMap<SubmissionKey, Vec<Waiter>>,
+    /// Requests forwarded to peers, by request id.
     pub(super) forwards: HashMap<u64, super::callers::Forwarded>,
-    pub(super) questions: HashMap<u64, super::callers::Question>,
+    /// Open queries to earlier owners, by request id.
+    pub(super) key_queries: HashMap<u64, super::callers::KeyQuery>,
     pub(super) rebuilds: HashMap<SubmissionKey, Rebuild>,
     pub(super) sides: BTreeMap<NodeName, SideLink>,
-    pub(super) peer_versions: BTreeMap<NodeName, u64>,
+    /// Configuration version in force on each peer, as last reported.
+    pub(super) peer_config_versions: BTreeMap<NodeName, u64>,
+    /// Running tasks by team on each peer, as last reported.
     pub(super) team_use: BTreeMap<NodeName, Vec<(NodeName, u32)>>,
     pub(super) team_quotas: BTreeMap<NodeName, u32>,
+    /// Running tasks by team in the latest update sent to peers.
     pub(super) team_use_sent: Vec<(NodeName, u32)>,
     pub(super) config_changed_at: Moment,
     pub(super) gossip_at: Moment,
     pub(super) next_id: u64,
     pub(super) is_stopping: bool,
     pub(super) has_stopped: bool,
-    pub(super) breakage: Option<DisabledCheck>,
+    pub(super) disabled_check: Option<DisabledCheck>,
 }
 
 impl EntryCore {
-    /// An entry that knows no peer and no side yet.
+    /// Returns an entry that knows no peers and no sides yet.
     pub fn new(settings: EntrySettings) -> Self {
         let hall = settings.me.hall.clone();
         Self {
@@ -94,10 +102,10 @@
             counters: EntryCounters::default(),
             waiters: HashMap::new(),
             forwards: HashMap::new(),
-            questions: HashMap::new(),
+            key_queries: HashMap::new(),
             rebuilds: HashMap::new(),
             sides: BTreeMap::new(),
-            peer_versions: BTreeMap::new(),
+            peer_config_versions: BTreeMap::new(),
             team_use: BTreeMap::new(),
             team_quotas: BTreeMap::new(),
             team_use_sent: Vec::new(),
@@ -106,60 +114,60 @@
             next_id: 1,
             is_stopping: false,
             has_stopped: false,
-            breakage: None,
+            disabled_check: None,
             settings,
         }
     }
 
-    /// What the entry has counted.
+    /// Returns the counters of the entry.
     pub fn counters(&self) -> &EntryCounters {
         &self.counters
     }
 
-    /// What its dispatcher has counted.
+    /// Returns the counters of the dispatcher.
     pub fn dispatch_counters(&self) -> DispatchCounters {
         self.dispatcher.counters()
     }
 
-    /// The dispatcher, to look at.
+    /// Returns the dispatcher.
     pub fn dispatcher(&self) -> &Dispatcher {
         &self.dispatcher
     }
 
-    /// The ledger, to look at.
+    /// Returns the ledger.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The membership, to look at.
+    /// Returns the membership.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Switches a protection off.
+    /// Disables a safety check.
     ///
-    /// > **Caution:** only for tests that must see the breakage caught.
+    /// > **Caution:** only for tests that verify that the missing check is detected.
     #[doc(hidden)]
-    pub fn disable_check(&mut self, breakage: DisabledCheck) {
-        self.breakage = Some(breakage);
+    pub fn disable_check(&mut self, disabled_check: DisabledCheck) {
+        self.disabled_check = Some(disabled_check);
     }
 
-    /// The decisions that are kept.
+    /// Returns the log of the latest decisions.
     pub fn decisions(&self) -> &DecisionLog {
         &self.decisions
     }
 
-    /// The configuration in force.
+    /// Returns the replica of the configuration.
     pub fn config(&self) -> &ConfigReplica {
         &self.config
     }
 
-    /// The sides as operators see them.
+    /// Returns the status of each side as reported to operators.
     pub fn side_status(&self, now: Moment) -> Vec<SideStatus> {
         self.dispatcher.side_status(now)
     }
 
-    /// Submissions without an answer.
+    /// Returns the submissions without an answer.
     pub fn live_submissions(&self) -> Vec<LiveSubmission> {
         let live = |key: &SubmissionKey| {
             let (done, count) = self.dispatcher.progress(*key)?;
@@ -172,14 +180,14 @@
         self.waiters.keys().filter_map(live).collect()
     }
 
-    /// How far the configuration is in force.
+    /// Returns the rollout status of the current configuration version.
     pub fn config_status(&self) -> ConfigStatus {
         let version = self.config.version();
         let sides_at = self.sides.values().filter(|s| s.config_version >= version);
         let me = &self.settings.me.id;
         let members = self.membership.roster().map(|roster| &roster.members[..]);
         let peers = members.unwrap_or_default().iter().filter(|m| m.id != *me);
-        let peer_at = |name: &NodeName| self.peer_versions.get(name) >= Some(&version);
+        let peer_at = |name: &NodeName| self.peer_config_versions.get(name) >= Some(&version);
         let peers_at = peers.clone().filter(|m| peer_at(&m.id.name)).count();
         ConfigStatus {
             version,
@@ -188,35 +196,39 @@
         }
     }
 
-    /// When [`EntryEvent::Tick`] is due.
+    /// Returns the time at which [`EntryEvent::Tick`] is due next.
     pub fn next_tick(&self, now: Moment) -> Moment {
         let membership = self.membership.next_tick(now);
         let dispatch = self.dispatcher.next_tick(now);
-        let rebuild = self.rebuilds.values().map(|rebuild| rebuild.until).min();
+        let rebuild = self
+            .rebuilds
+            .values()
+            .map(|rebuild| rebuild.expires_at)
+            .min();
         [dispatch, rebuild]
             .into_iter()
             .flatten()
             .fold(membership, Moment::min)
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting effects.
     pub fn step(&mut self, now: Now, event: EntryEvent) -> Vec<EntryEffect> {
         let mut out = Vec::new();
         match event {
             EntryEvent::FromCaller { request, ask } => {
-                self.caller_asked(now, request, ask, &mut out)
+                self.on_caller_request(now, request, ask, &mut out)
             }
-            EntryEvent::CallerGone { request } => self.caller_gone(request),
+            EntryEvent::CallerGone { request } => self.on_caller_gone(request),
             EntryEvent::FromSide {
                 side,
                 incarnation,
                 message,
-            } => self.side_sent(now, side, incarnation, message, &mut out),
+            } => self.on_side_message(now, side, incarnation, message, &mut out),
             EntryEvent::SideLost { side, incarnation } => {
                 self.side_lost(now, &side, incarnation, &mut out);
             }
             EntryEvent::FromPeer { peer, message } => {
-                self.peer_sent(now, &peer, message, &mut out);
+                self.on_peer_message(now, &peer, message, &mut out);
             }
             EntryEvent::PeerLost { peer } => self.peer_lost(now, &peer, &mut out),
             EntryEvent::PeerDead { peer } => {
@@ -231,7 +243,7 @@
             EntryEvent::RosterWritten { written } => {
                 self.with_membership(now, &mut out, |m, e| m.roster_written(now, written, e));
             }
-            EntryEvent::Config(delta) => self.config_learned(now, &delta, &mut out),
+            EntryEvent::Config(delta) => self.apply_config(now, &delta, &mut out),
             EntryEvent::VmGone { vm } => self.vm_gone(now, &vm, &mut out),
             EntryEvent::DrainSide { side } => {
                 self.dispatcher.side_leaving(now.monotonic, &side);
@@ -250,12 +262,13 @@
         self.with_dispatcher(now, out, |d, e| d.tick(now.monotonic, e));
         self.ledger.trim(now.wall);
         self.end_due_rebuilds(now, out);
-        self.give_up_late(now, out);
+        self.expire_requests(now, out);
         self.gossip(now, out);
     }
 
-    /// The list lags, so it is weighed with the links: a side whose link stands gets nothing new
-    /// and may end what it runs; an entry is believed dead only if it is silent as well.
+    /// Handles a VM that is missing from the platform's list. The list lags, so it does not
+    /// override a working link: a side gets no new tasks but may finish the running ones, and an
+    /// entry counts as dead only if it is silent as well.
     fn vm_gone(&mut self, now: Now, vm: &NodeName, out: &mut Vec<EntryEffect>) {
         self.dispatcher.side_leaving(now.monotonic, vm);
         self.with_membership(now, out, |m, e| m.vm_gone(now, vm, e));
@@ -266,7 +279,7 @@
         self.next_id
     }
 
-    // ---- running the parts and passing on what they want ----
+    // ---- calls to the parts, and handling of their effects ----
 
     pub(super) fn with_membership(
         &mut self,
@@ -277,11 +290,11 @@
         let mut effects = Vec::new();
         run(&mut self.membership, &mut effects);
         for effect in effects {
-            self.membership_effect(now, effect, out);
+            self.handle_membership_effect(now, effect, out);
         }
     }
 
-    fn membership_effect(
+    fn handle_membership_effect(
         &mut self,
         now: Now,
         effect: MembershipEffect,
@@ -309,7 +322,7 @@
         self.dispatcher.set_entries(roster.members.len() as u32);
         self.apply_teams();
         out.push(EntryEffect::RosterAdopted(roster));
-        self.resume_questions(now, out);
+        self.restart_all_queries(now, out);
     }
 
     pub(super) fn with_dispatcher<R>(
@@ -321,35 +334,45 @@
         let mut effects = Vec::new();
         let result = run(&mut self.dispatcher, &mut effects);
         for effect in effects {
-            self.dispatch_effect(now, effect, out);
+            self.handle_dispatch_effect(now, effect, out);
         }
         result
     }
 
-    fn dispatch_effect(&mut self, now: Now, effect: DispatchEffect, out: &mut Vec<EntryEffect>) {
+    fn handle_dispatch_effect(
+        &mut self,
+        now: Now,
+        effect: DispatchEffect,
+        out: &mut Vec<EntryEffect>,
+    ) {
         match effect {
             DispatchEffect::ToSide { side, message } => {
                 out.push(EntryEffect::ToSide { side, message });
             }
-            DispatchEffect::AskPeers { demand, running } => {
+            DispatchEffect::RequestCredits { demand, running } => {
                 let message = PeerMessage::WantCredits { demand, running };
-                self.tell_peers(&message, out);
+                self.send_to_peers(&message, out);
             }
             DispatchEffect::Lend { peer, credits } => {
                 let message = PeerMessage::Lend { credits };
                 out.push(EntryEffect::ToPeer { peer, message });
             }
-            DispatchEffect::Ended { key, verdict } => self.ended(key, verdict, out),
-            DispatchEffect::Decided(mut decision) => {
+            DispatchEffect::Ended { key, outcome } => self.on_submission_ended(key, outcome, out),
+            DispatchEffect::RecordDecision(mut decision) => {
                 decision.config_version = self.config.version();
                 self.decisions.record(now.wall, decision);
             }
         }
     }
 
-    fn ended(&mut self, key: SubmissionKey, verdict: Verdict, out: &mut Vec<EntryEffect>) {
-        let reply = match verdict {
-            Verdict::Answered(answer) => {
+    fn on_submission_ended(
+        &mut self,
+        key: SubmissionKey,
+        outcome: SubmissionOutcome,
+        out: &mut Vec<EntryEffect>,
+    ) {
+        let reply = match outcome {
+            SubmissionOutcome::Answered(answer) => {
                 match &answer {
                     SubmissionAnswer::Complete(_) => self.counters.completed += 1,
                     SubmissionAnswer::Failed { reason, .. } => {
@@ -359,7 +382,7 @@
                 let kept = self.ledger.finish(key, answer);
                 Reply::Answered(SubmissionAnswer::clone(&kept))
             }
-            Verdict::Refused(refusal) => {
+            SubmissionOutcome::Refused(refusal) => {
                 *self.counters.refused.entry(refusal.reason).or_default() += 1;
                 self.ledger.withdraw(key);
                 Reply::Refused(refusal)
@@ -397,13 +420,14 @@
 
     // ---- configuration ----
 
-    /// The definition of a service, if it exists and can be read.
+    /// Returns the definition of a service, or `None` if it does not exist or can't be parsed.
     pub(super) fn service(&self, name: &NodeName) -> Option<Service> {
         let text = self.config.get("service", name.as_str())?;
         serde_json::from_str(&text).ok()
     }
 
-    /// Puts the teams' weights and limits in force, less what peers run for them.
+    /// Applies the teams' weights and limits. The limit of a team is its quota less the tasks that
+    /// peers run for it, and at least an even share of the quota.
     pub(super) fn apply_teams(&mut self) {
         let entries = self
             .membership
--- a/crates/mastknot_core/src/entry/peers.rs
+++ b/crates/mastknot_core/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! What peers send, and what is told to them unasked.
+//! Messages from peers, and periodic updates to peers.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::roster::{MemberId, Roster};
 use crate::types::{NodeName, Now};
 
-/// How often an entry tells its peers what they need to know.
+/// Time between two periodic updates to peers.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl EntryCore {
-    pub(super) fn peer_sent(
+    pub(super) fn on_peer_message(
         &mut self,
         now: Now,
         peer: &MemberId,
@@ -30,7 +30,7 @@
                 self.with_membership(now, out, |m, e| {
                     m.peer_connected(now, &member, roster_version, e)
                 });
-                self.peer_config_known(&member.id.name, config_version, out);
+                self.on_peer_config_version(&member.id.name, config_version, out);
             }
             PeerMessage::Confirm { nonce, version } => {
                 self.with_membership(now, out, |m, e| {
@@ -40,7 +40,7 @@
             PeerMessage::Confirmed { nonce, version } => {
                 self.membership.confirmed(now, &peer.name, nonce, version);
             }
-            PeerMessage::NewRoster(roster) => self.roster_told(now, roster, out),
+            PeerMessage::NewRoster(roster) => self.on_roster(now, roster, out),
             PeerMessage::Adopted { version } => {
                 self.membership.peer_adopted(now, &peer.name, version);
             }
@@ -59,16 +59,16 @@
                 let waiter = peer_waiter(peer, request);
                 self.fetch(now, waiter, key, wait, out);
             }
-            PeerMessage::Replied { request, reply } => self.replied(request, reply, out),
+            PeerMessage::Replied { request, reply } => self.on_reply(request, reply, out),
             PeerMessage::AskKey {
                 request,
                 version,
                 key,
                 digest,
                 wait,
-            } => self.key_asked(&peer.name, request, version, key, digest, wait, out),
+            } => self.on_key_query(&peer.name, request, version, key, digest, wait, out),
             PeerMessage::KeyKnown { request, status } => {
-                self.key_known(now, request, status, out);
+                self.on_key_status(now, request, status, out);
             }
             PeerMessage::Handover {
                 records,
@@ -84,13 +84,13 @@
             }
             PeerMessage::WantCredits { demand, running } => {
                 self.with_dispatcher(now, out, |d, e| {
-                    d.peer_wants(now.monotonic, &peer.name, demand, running, e);
+                    d.peer_requested_credits(now.monotonic, &peer.name, demand, running, e);
                 });
             }
             PeerMessage::Lend { credits } => self.borrowed(now, credits, out),
-            PeerMessage::Config(delta) => self.config_learned(now, &delta, out),
+            PeerMessage::Config(delta) => self.apply_config(now, &delta, out),
             PeerMessage::ConfigInForce { version, .. } => {
-                self.peer_config_known(&peer.name, version, out);
+                self.on_peer_config_version(&peer.name, version, out);
             }
             PeerMessage::TeamUse { running } => {
                 self.team_use.insert(peer.name.clone(), running);
@@ -99,7 +99,7 @@
         }
     }
 
-    fn roster_told(&mut self, now: Now, roster: Roster, out: &mut Vec<EntryEffect>) {
+    fn on_roster(&mut self, now: Now, roster: Roster, out: &mut Vec<EntryEffect>) {
         self.with_membership(now, out, |m, e| m.roster_received(now, roster, e));
     }
 
@@ -108,7 +108,7 @@
         self.team_use.remove(&peer.name);
         self.dispatcher.forget_peer(&peer.name);
         self.fail_forwards(&peer.name, out);
-        self.fail_questions(now, peer, out);
+        self.restart_queries_to(now, peer, out);
     }
 
     fn borrowed(&mut self, now: Now, credits: Vec<SideCredit>, out: &mut Vec<EntryEffect>) {
@@ -117,8 +117,8 @@
 
     // ---- configuration ----
 
-    /// Configuration came from the store or from a peer.
-    pub(super) fn config_learned(
+    /// Applies configuration from the store or from a peer.
+    pub(super) fn apply_config(
         &mut self,
         now: Now,
         delta: &ConfigDelta,
@@ -129,20 +129,25 @@
         }
         let version = self.config.version();
         self.config_changed_at = now.monotonic;
-        // What was sent before is no reason to wait with what is new.
+        // A recent delivery of the old version must not delay the new version.
         for link in self.sides.values_mut() {
             link.config_sent_at = None;
         }
         self.apply_teams();
         self.apply_profile();
         out.push(EntryEffect::ConfigAdvanced { version });
-        self.tell_peers(&self.config_in_force(), out);
+        self.send_to_peers(&self.config_in_force(), out);
         self.send_config_to_sides(now, out);
     }
 
-    /// A peer said which version it has in force: it gets what it lacks.
-    fn peer_config_known(&mut self, peer: &NodeName, version: u64, out: &mut Vec<EntryEffect>) {
-        self.peer_versions.insert(peer.clone(), version);
+    /// Records the version that a peer has in force and sends the peer what it lacks.
+    fn on_peer_config_version(
+        &mut self,
+        peer: &NodeName,
+        version: u64,
+        out: &mut Vec<EntryEffect>,
+    ) {
+        self.peer_config_versions.insert(peer.clone(), version);
         if version < self.config.version() {
             let message = PeerMessage::Config(self.config.delta_since(version));
             let peer = peer.clone();
@@ -150,26 +155,28 @@
         }
     }
 
-    // ---- told unasked ----
+    // ---- periodic updates ----
 
-    /// Tells peers which teams use much here, and keeps lagging sides supplied.
+    /// Sends peers this entry's configuration version and the teams that are near their quota, and
+    /// sends lagging sides their configuration.
     pub(super) fn gossip(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
         if now.monotonic.since(self.gossip_at) < GOSSIP_INTERVAL {
             return;
         }
         self.gossip_at = now.monotonic;
         self.send_config_to_sides(now, out);
-        // A peer that says nothing for long is voted out, so this goes out changed or not.
-        self.tell_peers(&self.config_in_force(), out);
+        // Peers vote out a member that is silent for too long, so this message is sent even if
+        // nothing has changed.
+        self.send_to_peers(&self.config_in_force(), out);
         let running = self.teams_near_quota();
         if running != self.team_use_sent {
             self.team_use_sent = running.clone();
-            self.tell_peers(&PeerMessage::TeamUse { running }, out);
+            self.send_to_peers(&PeerMessage::TeamUse { running }, out);
         }
     }
 
-    /// Teams that run here more than half of their even share of a quota: the others can't be the
-    /// reason why one is beyond it, and naming all would cost too many bytes.
+    /// Returns the teams that run at least half of their even share of the quota here. Other teams
+    /// can't be the cause of an exceeded quota, and sending all teams would take too many bytes.
     fn teams_near_quota(&self) -> Vec<(NodeName, u32)> {
         let members = self.membership.roster().map(|roster| roster.members.len());
         let entries = members.unwrap_or(1) as u64;
@@ -192,7 +199,7 @@
         }
     }
 
-    pub(super) fn tell_peers(&self, message: &PeerMessage, out: &mut Vec<EntryEffect>) {
+    pub(super) fn send_to_peers(&self, message: &PeerMessage, out: &mut Vec<EntryEffect>) {
         for peer in self.membership.connected() {
             out.push(EntryEffect::ToPeer {
                 peer: peer.clone(),
--- a/crates/mastknot_core/src/entry/rebuild.rs
+++ b/crates/mastknot_core/src/entry/rebuild.rs
@@ -1,4 +1,4 @@
-//! Rebuilding the answer of a lost holder from what the sides remember.
+//! Rebuilding of an answer whose owner was lost, from the results that sides remember.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,22 +11,23 @@
 };
 use crate::types::{Moment, NodeName, Now, SubmissionKey};
 
-/// How long the sides may take to say what they remember.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time for which a rebuild waits for the answers of sides.
+const RECALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A question to all sides about one submission.
+/// State of a query to all sides about one submission.
 #[derive(Clone, Debug)]
 pub(super) struct Rebuild {
-    /// The digest of the resubmission; none if only the answer was asked for.
+    /// Digest of the resubmission; `None` if only the answer was fetched.
     digest: Option<Digest>,
     waiters: Vec<Waiter>,
     found: BTreeMap<u16, RememberedTask>,
-    awaited: BTreeSet<NodeName>,
-    pub(super) until: Moment,
+    awaited_sides: BTreeSet<NodeName>,
+    pub(super) expires_at: Moment,
 }
 
 impl EntryCore {
-    /// An earlier holder that can't be asked may have run the submission: asks the sides.
+    /// Asks the sides for the results of a submission that an unreachable earlier owner may have
+    /// run.
     pub(super) fn rebuild(
         &mut self,
         now: Now,
@@ -43,10 +44,10 @@
             digest,
             waiters: vec![waiter],
             found: BTreeMap::new(),
-            awaited: self.sides.keys().cloned().collect(),
-            until: now.monotonic + PATIENCE,
+            awaited_sides: self.sides.keys().cloned().collect(),
+            expires_at: now.monotonic + RECALL_TIMEOUT,
         };
-        for side in &rebuild.awaited {
+        for side in &rebuild.awaited_sides {
             out.push(EntryEffect::ToSide {
                 side: side.clone(),
                 message: EntryMessage::Recall { key },
@@ -56,8 +57,8 @@
         self.check_rebuild(now, key, out);
     }
 
-    /// A side said what it remembers.
-    pub(super) fn remembered(
+    /// Handles the report of a side on the tasks that it remembers.
+    pub(super) fn on_remembered(
         &mut self,
         now: Now,
         side: &NodeName,
@@ -68,7 +69,7 @@
         let Some(rebuild) = self.rebuilds.get_mut(&key) else {
             return;
         };
-        rebuild.awaited.remove(side);
+        rebuild.awaited_sides.remove(side);
         for remembered in tasks {
             let is_done = matches!(remembered.outcome, Some(TaskOutcome::Done(_)));
             let index = remembered.task.index;
@@ -89,14 +90,14 @@
         keys.sort_unstable();
         for key in keys {
             if let Some(rebuild) = self.rebuilds.get_mut(&key) {
-                rebuild.awaited.remove(side);
+                rebuild.awaited_sides.remove(side);
             }
             self.check_rebuild(now, key, out);
         }
     }
 
     pub(super) fn end_due_rebuilds(&mut self, now: Now, out: &mut Vec<EntryEffect>) {
-        let due = |rebuild: &Rebuild| rebuild.until <= now.monotonic;
+        let due = |rebuild: &Rebuild| rebuild.expires_at <= now.monotonic;
         let mut keys: Vec<SubmissionKey> = self
             .rebuilds
             .iter()
@@ -113,7 +114,7 @@
         let Some(rebuild) = self.rebuilds.get(&key) else {
             return;
         };
-        let is_over = rebuild.awaited.is_empty() || rebuild.until <= now.monotonic;
+        let is_over = rebuild.awaited_sides.is_empty() || rebuild.expires_at <= now.monotonic;
         if is_over || all_results(rebuild).is_some() {
             self.end_rebuild(key, out);
         }
@@ -142,7 +143,7 @@
                 }
             }
         };
-        // The answer stands from now on, whatever turns up later.
+        // The answer is final, even if other results arrive later.
         if let Some(digest) = rebuild.digest.or(original) {
             self.ledger.accept(key, digest);
             self.ledger.finish(key, answer.clone());
@@ -159,7 +160,7 @@
     }
 }
 
-/// The results of all tasks in order, if all are known.
+/// Returns the results of all tasks in order, or `None` if any result is missing.
 fn all_results(rebuild: &Rebuild) -> Option<Vec<TaskResult>> {
     let count = rebuild.found.values().next()?.count;
     let result = |index: u16| match &rebuild.found.get(&index)?.outcome {
