--- a/crates/mastknot_entry/src/jobs/job_node.rs
+++ b/crates/mastknot_entry/src/jobs/job_node.rs
@@ -9,7 +9,7 @@
 };
 use mastknot_core::profile::ProfileOffer;
 use mastknot_core::scheduler::{CallerId, JobScheduler, SchedulerEvent, SchedulerSettings};
-use mastknot_runtime::{Clock, LastingStore, ProfileHolder, ProfileSettings, keep_profile};
+use mastknot_runtime::{Clock, PersistentStore, ProfileHolder, ProfileSettings, keep_profile};
 use mastknot_wire::{LinkStats, log_link_traffic};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -149,7 +149,7 @@
     }
 
     /// Keeps what it learns in a store, and takes what others have learned from there.
-    pub fn sync_learned_profile<S: LastingStore>(&self, store: S, settings: ProfileSettings) {
+    pub fn sync_learned_profile<S: PersistentStore>(&self, store: S, settings: ProfileSettings) {
         if self.keeps_profile {
             tokio::spawn(keep_profile(store, self.clone(), settings));
         }
--- a/crates/mastknot_runtime/src/lib.rs
+++ b/crates/mastknot_runtime/src/lib.rs
@@ -28,10 +28,11 @@
     CheckSettings, SettingsError, check_address, check_range, check_text, load_settings,
 };
 pub use shared_store::{
-    DIRECTORY_WATCH_WAIT, Directory, DirectorySettings, KnownRevision, LastingStore, LastingWrite,
-    OperatorFeedSettings, OperatorNews, OwnEntry, ProfileCounts, ProfileHolder, ProfileSettings,
-    SharedChanges, SharedCheck, SharedItem, SharedLease, SharedList, SharedStore, SharedStoreError,
-    SharedWrite, StoreCallCounts, feed_operator_news, keep_directory, keep_profile, read_directory,
+    DIRECTORY_WATCH_WAIT, Directory, DirectorySettings, KnownRevision, OperatorFeedSettings,
+    OperatorNews, OwnEntry, PersistentStore, PersistentWrite, ProfileCounts, ProfileHolder,
+    ProfileSettings, SharedChanges, SharedCheck, SharedItem, SharedLease, SharedList, SharedStore,
+    SharedStoreError, SharedWrite, StoreCallCounts, feed_operator_news, keep_directory,
+    keep_profile, read_directory,
 };
 pub use signals::{ReloadSignals, Signals, StopSignal};
 pub use store::{
--- a/crates/mastknot_runtime/src/shared_store/profile_keeper.rs
+++ b/crates/mastknot_runtime/src/shared_store/profile_keeper.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use super::{
-    LastingStore, LastingWrite, ProfileCounts, ProfileHolder, SharedItem, SharedStoreError,
+    PersistentStore, PersistentWrite, ProfileCounts, ProfileHolder, SharedItem, SharedStoreError,
 };
 use crate::Clock;
 
@@ -32,7 +32,7 @@
 }
 
 /// Reads the document once, and writes it when it is this process's turn and worth it.
-pub async fn keep_profile<S: LastingStore, H: ProfileHolder>(
+pub async fn keep_profile<S: PersistentStore, H: ProfileHolder>(
     store: S,
     holder: H,
     settings: ProfileSettings,
@@ -58,7 +58,7 @@
     ledger: ProfileLedger,
 }
 
-impl<S: LastingStore, H: ProfileHolder> Keeper<S, H> {
+impl<S: PersistentStore, H: ProfileHolder> Keeper<S, H> {
     async fn look(&mut self) {
         let offer = match self.ledger.must_read() {
             true => None,
@@ -101,12 +101,12 @@
         let now = self.now();
         let bytes = value.len();
         let write = match result {
-            Ok(LastingWrite::Done { revision }) => {
+            Ok(PersistentWrite::Done { revision }) => {
                 self.note("written", "");
                 info!(bytes, revision; "what was learned is written");
                 ProfileWrite::Done { revision }
             }
-            Ok(LastingWrite::Changed) => {
+            Ok(PersistentWrite::Changed) => {
                 self.note("refused", "");
                 info!(bytes, expected; "what was learned was written by another meanwhile");
                 ProfileWrite::Changed
--- a/crates/mastknot_runtime/tests/profile_keeper.rs
+++ b/crates/mastknot_runtime/tests/profile_keeper.rs
@@ -8,8 +8,8 @@
 use mastknot_core::profile::{ProfileOffer, ProfileUpdate, profile_update};
 use mastknot_core::types::Hall;
 use mastknot_runtime::{
-    Clock, DIRECTORY_WATCH_WAIT, Directory, DirectorySettings, KnownRevision, LastingStore,
-    LastingWrite, OperatorFeedSettings, OwnEntry, ProfileCounts, ProfileHolder, ProfileSettings,
+    Clock, DIRECTORY_WATCH_WAIT, Directory, DirectorySettings, KnownRevision, OperatorFeedSettings,
+    OwnEntry, PersistentStore, PersistentWrite, ProfileCounts, ProfileHolder, ProfileSettings,
     SharedChanges, SharedCheck, SharedItem, SharedLease, SharedList, SharedStore, SharedStoreError,
     SharedWrite, feed_operator_news, keep_directory, keep_profile,
 };
@@ -154,17 +154,17 @@
     }
 }
 
-impl LastingStore for CountingStore {
+impl PersistentStore for CountingStore {
     async fn write(
         &self,
         key: &str,
         value: &[u8],
         expected: u64,
-    ) -> Result<LastingWrite, SharedStoreError> {
+    ) -> Result<PersistentWrite, SharedStoreError> {
         self.profile_call()?;
         let found = self.item(key).map_or(0, |item| item.revision);
         if found != expected {
-            return Ok(LastingWrite::Changed);
+            return Ok(PersistentWrite::Changed);
         }
         let revision = self.put(key, value);
         self.with(|state| state.writes += 1);
@@ -172,7 +172,7 @@
             true => Err(SharedStoreError::NoAnswer {
                 problem: "lost".to_owned(),
             }),
-            false => Ok(LastingWrite::Done { revision }),
+            false => Ok(PersistentWrite::Done { revision }),
         }
     }
 }
