--- a/crates/mastknot_virtual/src/audit/mod.rs
+++ b/crates/mastknot_virtual/src/audit/mod.rs
@@ -11,7 +11,7 @@
     /// A task that may not be repeated was started twice.
     StartedTwice(TaskId),
     /// A complete answer lacks a task or has one too many.
-    Partial(SubmissionKey),
+    IncompleteAnswer(SubmissionKey),
     /// A complete answer holds another submission's bytes.
     WrongAnswer(SubmissionKey),
     /// A reply said "not run", and a task of the submission had been started.
@@ -23,7 +23,7 @@
     /// A node went back to an older configuration.
     ConfigReverted(NodeName),
     /// A target got new work long after it began to leave.
-    StartedOnLeaving(NodeName),
+    StartedWhileLeaving(NodeName),
 }
 
 /// Keeps the record of true starts and checks every reply against it.
@@ -64,7 +64,7 @@
     }
 
     /// A target starts a task.
-    pub fn note_start(&mut self, task: TaskId) {
+    pub fn record_start(&mut self, task: TaskId) {
         self.started_keys.insert(task.key);
         let count = self.starts.entry(task).or_default();
         *count += 1;
@@ -74,7 +74,7 @@
     }
 
     /// A node has a configuration version in force.
-    pub fn note_config(&mut self, node: &NodeName, version: u64) {
+    pub fn record_config(&mut self, node: &NodeName, version: u64) {
         let held = self.config.entry(node.clone()).or_default();
         if version < *held {
             let reverted = Violation::ConfigReverted(node.clone());
@@ -84,12 +84,12 @@
     }
 
     /// A node has lost its memory by a restart.
-    pub fn note_restart(&mut self, node: &NodeName) {
+    pub fn record_restart(&mut self, node: &NodeName) {
         self.config.remove(node);
     }
 
     /// A caller gets a reply to a submission.
-    pub fn note_reply(&mut self, submission: &Submission, reply: &Reply) {
+    pub fn record_reply(&mut self, submission: &Submission, reply: &Reply) {
         let key = submission.key;
         match reply {
             Reply::Answered(answer) => self.check_answer(submission, answer),
@@ -106,7 +106,7 @@
         let key = submission.key;
         if let SubmissionAnswer::Complete(results) = answer {
             if results.len() != submission.tasks.len() {
-                self.violations.push(Violation::Partial(key));
+                self.violations.push(Violation::IncompleteAnswer(key));
             }
             let pairs = results.iter().zip(&submission.tasks);
             if pairs.into_iter().any(|(result, task)| result.body != *task) {
--- a/crates/mastknot_virtual/src/faults/mod.rs
+++ b/crates/mastknot_virtual/src/faults/mod.rs
@@ -97,7 +97,7 @@
 
 /// What becomes of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum MessageFault {
     /// It never arrives.
     Lost,
     /// It arrives this much later, behind later ones.
@@ -132,11 +132,11 @@
 
 /// The next `count` messages of a kind meet a fate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rule {
+pub struct FaultRule {
     /// The kind.
     pub kind: MessageKind,
     /// The fate.
-    pub fate: Fate,
+    pub fault: MessageFault,
     /// How many messages it still meets.
     pub count: u32,
 }
--- a/crates/mastknot_virtual/src/jobs/bad_tasks.rs
+++ b/crates/mastknot_virtual/src/jobs/bad_tasks.rs
@@ -5,7 +5,7 @@
 use mastknot_core::agent::{AgentEvent, ProbeFailure};
 use mastknot_core::job::{JobId, RunId, TaskRef};
 
-use super::TargetMood;
+use super::TargetBehaviour;
 use super::act::Act;
 use super::job_system::{JobSystem, TARGET_DELAY};
 
@@ -19,7 +19,7 @@
     /// For how long the target is gone.
     pub down: Duration,
     /// Whether the target is silent meanwhile, in place of resetting and refusing connections.
-    pub is_dark: bool,
+    pub is_silent: bool,
 }
 
 impl JobSystem {
@@ -34,12 +34,12 @@
         crash: TaskCrash,
     ) -> JobId {
         let job = self.submit(at, entry, tasks, work);
-        self.let_crash(job, crash);
+        self.make_tasks_crash_targets(job, crash);
         job
     }
 
     /// Lets the first tasks of a job crash each target on which they start.
-    pub fn let_crash(&mut self, job: JobId, crash: TaskCrash) {
+    pub fn make_tasks_crash_targets(&mut self, job: JobId, crash: TaskCrash) {
         for index in 0..crash.tasks {
             let task = TaskRef {
                 job,
@@ -52,13 +52,13 @@
 
     /// Hands in a job as [`JobSystem::submit`] does, the first task of which every target runs as if it were in
     /// this mood.
-    pub fn submit_with_mood(
+    pub fn submit_with_behaviour(
         &mut self,
         at: Duration,
         entry: usize,
         tasks: u16,
         work: Duration,
-        mood: TargetMood,
+        mood: TargetBehaviour,
     ) -> JobId {
         let job = self.submit(at, entry, tasks, work);
         let task = TaskRef {
@@ -91,10 +91,10 @@
             return;
         }
         self.audit.crashed_under(run.task);
-        if !crash.is_dark {
+        if !crash.is_silent {
             self.reset_look(side);
         }
-        self.crash_target(side, crash.is_dark);
+        self.crash_target(side, crash.is_silent);
         let down = crash.down.as_micros() as u64;
         self.later(down, Act::StartTarget { side });
     }
--- a/crates/mastknot_virtual/src/jobs/draining.rs
+++ b/crates/mastknot_virtual/src/jobs/draining.rs
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainVariant {
     /// What they should.
-    Right,
+    Correct,
     /// Sides start whatever entries order.
     SidesDoNotEnforce,
     /// The word that came last counts, whatever its revision.
-    LastWordWins,
+    LastMessageWins,
     /// Entries that start do not read which halls are drained.
     ForgottenOnRestart,
 }
@@ -56,14 +56,14 @@
     }
 
     /// Operators return a hall.
-    pub fn give_back(&mut self, at: Duration, hall: usize) {
+    pub fn return_drained_hall(&mut self, at: Duration, hall: usize) {
         let hall = hall_of(hall);
         let at = at.as_micros() as u64;
         self.schedule.add(at, Act::Return { hall });
     }
 
     /// The targets of a hall are slow from now until a time, and say so unless `is_hidden`.
-    pub fn chill(&mut self, hall: usize, until: Duration, is_hidden: bool) {
+    pub fn make_targets_cold(&mut self, hall: usize, until: Duration, is_hidden: bool) {
         let until = until.as_micros() as u64;
         let slots = self.targets.iter_mut().enumerate();
         let there = slots.filter(|(side, _)| hall_of(*side) == hall_of(hall));
@@ -74,7 +74,7 @@
     }
 
     /// From a time on an entry is out of touch with the store for a while.
-    pub fn cut_from_store(&mut self, until: Duration, entry: usize) {
+    pub fn disconnect_from_store(&mut self, until: Duration, entry: usize) {
         self.store_away_until[entry] = until.as_micros() as u64;
     }
 
@@ -183,7 +183,7 @@
 
     /// Makes the word that comes last the newest one.
     fn bend(&mut self, drained: &mut Arc<DrainedHalls>) {
-        if self.drain_variant == DrainVariant::LastWordWins && drained.revision > 0 {
+        if self.drain_variant == DrainVariant::LastMessageWins && drained.revision > 0 {
             self.words_heard += 1;
             Arc::make_mut(drained).revision = WORDS_ABOVE + self.words_heard;
         }
--- a/crates/mastknot_virtual/src/jobs/job_audit.rs
+++ b/crates/mastknot_virtual/src/jobs/job_audit.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobViolation {
     /// A task ran twice at the same time.
-    RanTwice {
+    RanConcurrently {
         /// The task.
         task: TaskRef,
         /// Its earlier run, at its target.
@@ -23,19 +23,19 @@
         job: JobId,
     },
     /// A job was answered as completed although a task had not done its work.
-    CompletedWithout {
+    CompletedWithoutTask {
         /// The task.
         task: TaskRef,
     },
     /// A start brought a target over its room.
-    StartedWithoutRoom {
+    StartedWithoutCapacity {
         /// The run.
         run: RunId,
         /// What all runs took then, in thousandths of a core.
         used_cpu_millis: u32,
     },
     /// A task that crashes its targets was started again and again.
-    StartedInSpiteOfCrashes {
+    StartedDespiteCrashes {
         /// The task.
         task: TaskRef,
         /// How many targets had crashed under it.
@@ -44,7 +44,7 @@
         at: u64,
     },
     /// A task ran although all callers of its job had left long before.
-    RanAfterLeave {
+    RanAfterCallersLeft {
         /// The job.
         job: JobId,
         /// How long after they had left it still ran, in microseconds.
@@ -62,7 +62,7 @@
         /// The job.
         job: JobId,
         /// When it was handed in, in microseconds.
-        handed_in: u64,
+        submitted_at: u64,
     },
 }
 
@@ -123,7 +123,7 @@
         self.started.insert(run.task.job);
         let running = self.running.entry(run.task).or_default();
         if let Some(first) = running.first().copied() {
-            self.violations.push(JobViolation::RanTwice {
+            self.violations.push(JobViolation::RanConcurrently {
                 task: run.task,
                 first,
                 second: (target, run),
@@ -149,12 +149,12 @@
         *starts += 1;
         if *starts > STARTS_AFTER {
             self.violations
-                .push(JobViolation::StartedInSpiteOfCrashes { task, crashes, at });
+                .push(JobViolation::StartedDespiteCrashes { task, crashes, at });
         }
     }
 
     pub(super) fn started_without_room(&mut self, run: RunId, used_cpu_millis: u32) {
-        self.violations.push(JobViolation::StartedWithoutRoom {
+        self.violations.push(JobViolation::StartedWithoutCapacity {
             run,
             used_cpu_millis,
         });
@@ -181,7 +181,7 @@
         let after = at.saturating_sub(*left);
         if after > LeaseTerms::default().run_over_after.as_micros() as u64 {
             self.violations
-                .push(JobViolation::RanAfterLeave { job, after });
+                .push(JobViolation::RanAfterCallersLeft { job, after });
         }
     }
 
@@ -206,7 +206,7 @@
         if given.answer == JobAnswer::Completed {
             let missing = tasks.iter().find(|task| !self.done.contains(*task));
             if let Some(task) = missing {
-                let violation = JobViolation::CompletedWithout { task: *task };
+                let violation = JobViolation::CompletedWithoutTask { task: *task };
                 self.violations.push(violation);
             }
         }
@@ -214,8 +214,10 @@
     }
 
     pub(super) fn unanswered(&mut self, job: JobId, handed_in: u64) {
-        self.violations
-            .push(JobViolation::Unanswered { job, handed_in });
+        self.violations.push(JobViolation::Unanswered {
+            job,
+            submitted_at: handed_in,
+        });
     }
 
     /// Broken promises; `unanswered` are jobs of which a caller got no answer at all.
--- a/crates/mastknot_virtual/src/jobs/job_faults.rs
+++ b/crates/mastknot_virtual/src/jobs/job_faults.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::TargetMood;
+use super::TargetBehaviour;
 
 /// Which way a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
         down: Duration,
     },
     /// An entry stands still.
-    FreezeEntry {
+    PauseEntry {
         /// The entry.
         entry: usize,
         /// For how long.
@@ -52,14 +52,14 @@
         down: Duration,
     },
     /// A side stands still; its target runs on.
-    FreezeSide {
+    PauseSide {
         /// The side.
         side: usize,
         /// For how long.
         time: Duration,
     },
     /// A link carries nothing; what was sent arrives when the cut is over.
-    CutLink {
+    PartitionLink {
         /// The entry.
         entry: usize,
         /// The side.
@@ -97,10 +97,10 @@
         /// For how long it is gone.
         down: Duration,
         /// Whether it is silent meanwhile, in place of refusing connections.
-        is_dark: bool,
+        is_silent: bool,
     },
     /// What a target reports of itself is held up, and arrives when this is over.
-    HoldReports {
+    DelayReports {
         /// The target's side.
         side: usize,
         /// For how long.
@@ -116,17 +116,17 @@
         time: Duration,
     },
     /// A target behaves badly for a while.
-    Mood {
+    Misbehave {
         /// The target's side.
         side: usize,
         /// How.
-        mood: TargetMood,
+        behaviour: TargetBehaviour,
         /// For how long.
         time: Duration,
     },
     /// What callers send to an entry is held up, and arrives when this is over: requests, and behind them the
     /// departures of callers that have left meanwhile.
-    HoldRequests {
+    DelayRequests {
         /// The entry.
         entry: usize,
         /// For how long.
--- a/crates/mastknot_virtual/src/jobs/job_system.rs
+++ b/crates/mastknot_virtual/src/jobs/job_system.rs
@@ -20,7 +20,7 @@
 use super::target_slot::TargetSlot;
 use super::thin_links::{LinkRecord, Pipe};
 use super::variants::NamesKept;
-use super::virtual_target::TargetMood;
+use super::virtual_target::TargetBehaviour;
 use super::{JobAudit, JobFaultPlan, StepRecord, TaskCrash};
 use crate::system::Schedule;
 
@@ -57,7 +57,7 @@
     /// The bandwidth of an entry's link in each direction, in bytes a second; none is no limit.
     pub entry_link: Option<u64>,
     /// How many links an entry uses for starts as a rule; none is the usual setting.
-    pub usual_links: Option<usize>,
+    pub active_links: Option<usize>,
     /// For everything that is left to chance.
     pub seed: u64,
 }
@@ -128,7 +128,7 @@
     /// Whether targets start what does not fit.
     pub(super) has_unguarded_targets: bool,
     /// Tasks that every target runs as if it were in this mood.
-    pub(super) task_moods: HashMap<TaskRef, TargetMood>,
+    pub(super) task_moods: HashMap<TaskRef, TargetBehaviour>,
     /// Tasks that crash the targets on which they start.
     pub(super) crashing: HashMap<TaskRef, TaskCrash>,
     pub(super) audit: JobAudit,
@@ -220,7 +220,7 @@
             drained: nothing_drained(),
             drained_at: BTreeMap::new(),
             store_away_until: vec![0; settings.entries],
-            drain_variant: DrainVariant::Right,
+            drain_variant: DrainVariant::Correct,
             words_heard: 0,
             remembered_targets: HashMap::new(),
             profile_store: ProfileStore::default(),
@@ -433,7 +433,7 @@
             Act::ResizeOver { side } => self.resize_target(side, self.settings.cpu_millis),
             Act::MoodOver { side } => {
                 if let Some(target) = &mut self.targets[side].target {
-                    target.mood = TargetMood::Sound;
+                    target.mood = TargetBehaviour::Healthy;
                 }
             }
         }
--- a/crates/mastknot_virtual/src/jobs/mod.rs
+++ b/crates/mastknot_virtual/src/jobs/mod.rs
@@ -33,4 +33,4 @@
 pub use profile_store::ProfileStore;
 pub use step_record::StepRecord;
 pub use thin_links::LinkRecord;
-pub use virtual_target::{TargetMood, VirtualTarget};
+pub use virtual_target::{TargetBehaviour, VirtualTarget};
--- a/crates/mastknot_virtual/src/jobs/observing.rs
+++ b/crates/mastknot_virtual/src/jobs/observing.rs
@@ -28,7 +28,7 @@
     }
 
     /// Jobs and runs that the cores still hold; none when all is quiet.
-    pub fn left_over(&self) -> (usize, usize) {
+    pub fn held_jobs_and_runs(&self) -> (usize, usize) {
         let entries = self.entries.iter().filter_map(|node| node.core.as_ref());
         let sides = self.sides.iter().filter_map(|node| node.core.as_ref());
         let runs = sides.map(|core| core.runs().len()).sum();
--- a/crates/mastknot_virtual/src/jobs/processes.rs
+++ b/crates/mastknot_virtual/src/jobs/processes.rs
@@ -30,7 +30,7 @@
         if let Some(rate) = self.settings.entry_link {
             settings.link = LinkRate::from_bytes_per_s(rate);
         }
-        if let Some(links) = self.settings.usual_links {
+        if let Some(links) = self.settings.active_links {
             settings.min_links = links;
             settings.max_links = links;
         }
--- a/crates/mastknot_virtual/src/jobs/profile_store.rs
+++ b/crates/mastknot_virtual/src/jobs/profile_store.rs
@@ -29,9 +29,9 @@
     /// When entries have written it, and which.
     pub writes: Vec<(Duration, usize)>,
     /// Writes whose condition did not hold.
-    pub refused: usize,
+    pub refused_writes: usize,
     /// Documents that an entry could not use.
-    pub not_taken: usize,
+    pub unusable_documents: usize,
     /// Until when answers to writes are lost, in microseconds.
     answers_lost_until: u64,
     /// Until when all calls for the document are turned away, in microseconds.
@@ -55,7 +55,7 @@
 
     fn write(&mut self, now: u64, entry: usize, value: Vec<u8>, expected: u64) -> ProfileWrite {
         if expected != self.revision {
-            self.refused += 1;
+            self.refused_writes += 1;
             return ProfileWrite::Changed;
         }
         self.put(value);
@@ -91,7 +91,7 @@
     }
 
     /// Calls for the document are turned away until a time.
-    pub fn turn_profile_calls_away(&mut self, until: Duration) {
+    pub fn reject_profile_calls(&mut self, until: Duration) {
         self.profile_store.away_until = until.as_micros() as u64;
     }
 
@@ -169,7 +169,7 @@
                 let wall = self.wall();
                 self.step_entry(entry, SchedulerEvent::Learned { profile, wall });
             }
-            ProfileRead::NotTaken(_) => self.profile_store.not_taken += 1,
+            ProfileRead::NotTaken(_) => self.profile_store.unusable_documents += 1,
             ProfileRead::Absent | ProfileRead::Known => {}
         }
     }
--- a/crates/mastknot_virtual/src/jobs/strikes.rs
+++ b/crates/mastknot_virtual/src/jobs/strikes.rs
@@ -13,7 +13,7 @@
                 self.kill_entry(entry);
                 self.later(down.as_micros() as u64, Act::StartEntry { entry });
             }
-            JobFault::FreezeEntry { entry, time } => {
+            JobFault::PauseEntry { entry, time } => {
                 self.entries[entry].frozen_until = self.now + time.as_micros() as u64;
                 self.disturb_callers(entry);
             }
@@ -28,10 +28,10 @@
                 self.kill_side(side);
                 self.later(down.as_micros() as u64, Act::StartSide { side });
             }
-            JobFault::FreezeSide { side, time } => {
+            JobFault::PauseSide { side, time } => {
                 self.sides[side].frozen_until = self.now + time.as_micros() as u64;
             }
-            JobFault::CutLink {
+            JobFault::PartitionLink {
                 entry,
                 side,
                 direction,
@@ -54,12 +54,12 @@
             JobFault::CrashTarget {
                 side,
                 down,
-                is_dark,
+                is_silent: is_dark,
             } => {
                 self.crash_target(side, is_dark);
                 self.later(down.as_micros() as u64, Act::StartTarget { side });
             }
-            JobFault::HoldReports { side, time } => {
+            JobFault::DelayReports { side, time } => {
                 self.targets[side].reports_held_until = self.now + time.as_micros() as u64;
             }
             JobFault::Resize {
@@ -70,13 +70,17 @@
                 self.resize_target(side, cpu_millis);
                 self.later(time.as_micros() as u64, Act::ResizeOver { side });
             }
-            JobFault::Mood { side, mood, time } => {
+            JobFault::Misbehave {
+                side,
+                behaviour: mood,
+                time,
+            } => {
                 if let Some(target) = &mut self.targets[side].target {
                     target.mood = mood;
                 }
                 self.later(time.as_micros() as u64, Act::MoodOver { side });
             }
-            JobFault::HoldRequests { entry, time } => self.hold_requests(entry, time),
+            JobFault::DelayRequests { entry, time } => self.hold_requests(entry, time),
             JobFault::BreakCallers { entry } => self.break_callers(entry),
             JobFault::StallEntry { entry, time } => self.stall_entry(entry, time),
         }
--- a/crates/mastknot_virtual/src/jobs/submitting.rs
+++ b/crates/mastknot_virtual/src/jobs/submitting.rs
@@ -65,18 +65,18 @@
     }
 
     /// Lets callers that are refused come back when they are told to, so often at most.
-    pub fn let_callers_return(&mut self, most: u32) {
+    pub fn set_max_returns(&mut self, most: u32) {
         self.most_returns = most;
     }
 
     /// All callers of a job leave at a time and do not come again.
-    pub fn leave(&mut self, at: Duration, job: JobId) {
+    pub fn abandon_job(&mut self, at: Duration, job: JobId) {
         let at = at.as_micros() as u64;
         self.schedule.add(at, Act::Leave { job });
     }
 
     /// Lets the caller of a job guess this time for each of its tasks.
-    pub fn set_guess(&mut self, job: JobId, guess: Duration) {
+    pub fn set_estimate(&mut self, job: JobId, guess: Duration) {
         let job = self.jobs.get_mut(&job);
         let steps = job.into_iter().flat_map(|job| &mut job.request.steps);
         steps.for_each(|step| step.estimate = guess);
--- a/crates/mastknot_virtual/src/jobs/targets.rs
+++ b/crates/mastknot_virtual/src/jobs/targets.rs
@@ -12,7 +12,7 @@
 use super::job_system::{BEAT, CallFate, JobSystem, MILLI, TARGET_DELAY};
 use super::target_slot::OpenLook;
 use super::variants::NamesKept;
-use super::virtual_target::{TargetMood, VirtualStart, VirtualTarget};
+use super::virtual_target::{TargetBehaviour, VirtualStart, VirtualTarget};
 
 /// A room that has changed is known to the side by then, which may stand still for 3.5 s: a beat, and a call on its way.
 const ROOM_KNOWN_AFTER: u64 = 3_500 * MILLI + BEAT + 100 * MILLI;
@@ -121,10 +121,10 @@
             };
         };
         match target.mood {
-            TargetMood::AppliesLate(every) if slot.calls.is_multiple_of(every) => {
+            TargetBehaviour::AppliesLate(every) if slot.calls.is_multiple_of(every) => {
                 CallFate::Late(self.rng.random_range(LATE_CALLS))
             }
-            TargetMood::LosesAnswers(every) if slot.calls.is_multiple_of(every) => {
+            TargetBehaviour::LosesAnswers(every) if slot.calls.is_multiple_of(every) => {
                 CallFate::Unanswered
             }
             _ => CallFate::Done,
@@ -135,7 +135,7 @@
     fn stop_fate(&mut self, side: usize) -> CallFate {
         let slot = &mut self.targets[side];
         let mood = slot.target.as_ref().map(|target| target.mood);
-        let Some(TargetMood::StopsLate(every)) = mood else {
+        let Some(TargetBehaviour::StopsLate(every)) = mood else {
             return self.call_fate(side);
         };
         slot.stops += 1;
--- a/crates/mastknot_virtual/src/jobs/variants.rs
+++ b/crates/mastknot_virtual/src/jobs/variants.rs
@@ -29,17 +29,17 @@
     }
 
     /// Lets targets keep their names without saying when they started: lives are told apart by name alone.
-    pub fn hide_births(&mut self) {
+    pub fn omit_start_times(&mut self) {
         self.keep_names(NamesKept::WithoutBirths);
     }
 
     /// Lets targets keep their names, and their lives be told apart by the numbers of their reports alone.
-    pub fn number_births(&mut self) {
+    pub fn infer_restarts_from_report_numbers(&mut self) {
         self.keep_names(NamesKept::ByNumbers);
     }
 
     /// Lets each grant of a side be told to the next entry that hears from it, too: what sides must not do.
-    pub fn grant_twice(&mut self) {
+    pub fn duplicate_grants(&mut self) {
         self.repeated_grants = Some(HashMap::new());
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Lets targets hold their runs for as long as they are asked to, up to this.
-    pub fn lengthen_holds(&mut self, longest: Duration) {
+    pub fn set_max_hold(&mut self, longest: Duration) {
         self.longest_hold = longest;
         for slot in &mut self.targets {
             if let Some(target) = &mut slot.target {
@@ -93,7 +93,7 @@
     }
 
     /// Lets the processes read a clock that stands still while their VM is suspended: what they must not do.
-    pub fn use_steady_clocks(&mut self) {
+    pub fn use_clocks_stopped_by_suspension(&mut self) {
         self.has_steady_clocks = true;
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Lets targets start whatever they are told: their room is kept by their sides alone.
-    pub fn unguard_targets(&mut self) {
+    pub fn disable_target_capacity_checks(&mut self) {
         self.has_unguarded_targets = true;
     }
 
--- a/crates/mastknot_virtual/src/jobs/virtual_target.rs
+++ b/crates/mastknot_virtual/src/jobs/virtual_target.rs
@@ -8,13 +8,13 @@
 
 /// How a target behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetMood {
+pub enum TargetBehaviour {
     /// As it should.
-    Sound,
+    Healthy,
     /// All that it starts fails.
     FailsAll,
     /// What it starts stands still.
-    StandsStill,
+    Stalls,
     /// Work takes this many times as long.
     Slow(u64),
     /// One call in so many gets no answer and is done up to seconds later.
@@ -52,7 +52,7 @@
     finished: Vec<TargetFinished>,
     next_end: u64,
     pub(super) longest_hold_ms: u64,
-    pub(super) mood: TargetMood,
+    pub(super) mood: TargetBehaviour,
     /// Until when its work takes [`COLD_FACTOR`] times as long.
     pub(super) cold_until: u64,
     /// Whether it does not say that it is cold.
@@ -88,7 +88,7 @@
             finished: Vec::new(),
             next_end: 0,
             longest_hold_ms: 0,
-            mood: TargetMood::Sound,
+            mood: TargetBehaviour::Healthy,
             cold_until: 0,
             hides_cold: false,
         }
@@ -210,9 +210,9 @@
             1
         };
         let ends = match order.task_mood.unwrap_or(self.mood) {
-            TargetMood::FailsAll => Some((now + 5_000, FinishReason::Failed)),
-            TargetMood::StandsStill => None,
-            TargetMood::Slow(factor) => Some((now + order.work * factor, FinishReason::Done)),
+            TargetBehaviour::FailsAll => Some((now + 5_000, FinishReason::Failed)),
+            TargetBehaviour::Stalls => None,
+            TargetBehaviour::Slow(factor) => Some((now + order.work * factor, FinishReason::Done)),
             _ => Some((now + order.work * factor, FinishReason::Done)),
         };
         let run = TargetRun {
@@ -299,7 +299,7 @@
     /// How long the work takes, in microseconds.
     pub(super) work: u64,
     /// How a target behaves that starts this task, whatever its mood.
-    pub(super) task_mood: Option<TargetMood>,
+    pub(super) task_mood: Option<TargetBehaviour>,
     pub(super) hold_until_ms: u64,
     pub(super) token: u64,
     pub(super) target: Option<TargetId>,
--- a/crates/mastknot_virtual/src/lib.rs
+++ b/crates/mastknot_virtual/src/lib.rs
@@ -14,11 +14,11 @@
 mod system;
 
 pub use audit::{Audit, Violation};
-pub use faults::{Fate, MessageKind, ProcessFault, Rule, Trigger};
+pub use faults::{FaultRule, MessageFault, MessageKind, ProcessFault, Trigger};
 pub use jobs::{
     Direction, DrainVariant, GivenAnswer, JobAudit, JobFault, JobFaultPlan, JobSystem,
-    JobSystemSettings, JobViolation, LinkRecord, ProfileStore, StepRecord, TargetMood, TaskCrash,
-    VirtualTarget,
+    JobSystemSettings, JobViolation, LinkRecord, ProfileStore, StepRecord, TargetBehaviour,
+    TaskCrash, VirtualTarget,
 };
 pub use store::{VirtualStore, VirtualStoreFaults};
-pub use system::{Delays, EntryIndex, MessageCounts, SideIndex, Submitted, VirtualSystem};
+pub use system::{Delays, EntryIndex, MessageCounts, SideIndex, SubmittedRequest, VirtualSystem};
--- a/crates/mastknot_virtual/src/store/mod.rs
+++ b/crates/mastknot_virtual/src/store/mod.rs
@@ -13,7 +13,7 @@
     /// Calls fail, watches say nothing.
     pub is_down: bool,
     /// Each answer takes this much longer.
-    pub slow: Duration,
+    pub extra_delay: Duration,
     /// The answers of the next writes that take effect are lost.
     pub lose_answers: u32,
     /// Watches say nothing.
--- a/crates/mastknot_virtual/src/system/building.rs
+++ b/crates/mastknot_virtual/src/system/building.rs
@@ -79,7 +79,7 @@
         entry.fed_version = 0;
         entry.stopped = false;
         let name = entry.name().clone();
-        self.audit.note_restart(&name);
+        self.audit.record_restart(&name);
         for other in 0..self.entries.len() {
             if other != index && self.is_up(other) {
                 self.link_entries(index, other);
@@ -105,7 +105,7 @@
         side.leaving_since = None;
         side.links.clear();
         let name = side.settings.side.clone();
-        self.audit.note_restart(&name);
+        self.audit.record_restart(&name);
         for entry in 0..self.entries.len() {
             self.link_side(index, entry);
         }
--- a/crates/mastknot_virtual/src/system/callers.rs
+++ b/crates/mastknot_virtual/src/system/callers.rs
@@ -29,7 +29,7 @@
         self.next_request += 1;
         self.requests.insert(
             request,
-            Submitted {
+            SubmittedRequest {
                 submission,
                 sent_at: at,
                 sent_to: None,
--- a/crates/mastknot_virtual/src/system/entries.rs
+++ b/crates/mastknot_virtual/src/system/entries.rs
@@ -95,7 +95,7 @@
             EntryEffect::RosterAdopted(_) => {}
             EntryEffect::ConfigAdvanced { version } => {
                 let name = self.entries[index].name().clone();
-                self.audit.note_config(&name, version);
+                self.audit.record_config(&name, version);
             }
             EntryEffect::Stopped => {
                 self.entries[index].stopped = true;
@@ -106,7 +106,7 @@
     }
 
     pub(super) fn store_answer_at(&self) -> u64 {
-        let time = self.delays.store + self.store.faults.slow;
+        let time = self.delays.store + self.store.faults.extra_delay;
         self.now + time.as_micros() as u64
     }
 
@@ -175,6 +175,6 @@
         }
         submitted.reply = Some((now, reply.clone()));
         let submission = submitted.submission.clone();
-        self.audit.note_reply(&submission, &reply);
+        self.audit.record_reply(&submission, &reply);
     }
 }
--- a/crates/mastknot_virtual/src/system/fault_injection.rs
+++ b/crates/mastknot_virtual/src/system/fault_injection.rs
@@ -8,7 +8,7 @@
 
 use super::virtual_system::*;
 use super::{EntryIndex, SideIndex};
-use crate::{MessageKind, ProcessFault, Rule, Trigger};
+use crate::{FaultRule, MessageKind, ProcessFault, Trigger};
 
 /// How long until a broken link is noticed and, for a dead process, the refusal is seen.
 const NOTICE: Duration = Duration::from_millis(300);
@@ -18,7 +18,7 @@
 
 impl VirtualSystem {
     /// The next `count` messages of a kind meet a fate.
-    pub fn add_rule(&mut self, rule: Rule) {
+    pub fn add_rule(&mut self, rule: FaultRule) {
         self.rules.push(rule);
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Cuts two halls apart.
-    pub fn cut(&mut self, a: &str, b: &str) {
+    pub fn partition(&mut self, a: &str, b: &str) {
         self.cuts.insert((a.into(), b.into()));
         self.cuts.insert((b.into(), a.into()));
         self.cut_number += 1;
@@ -263,7 +263,7 @@
     }
 
     /// Sets a target's speed, in percent of the usual time.
-    pub fn set_slow(&mut self, side: SideIndex, percent: u64) {
+    pub fn set_target_slowdown(&mut self, side: SideIndex, percent: u64) {
         self.sides[side].slow_percent = percent;
     }
 
@@ -278,7 +278,7 @@
     }
 
     /// Moves an entry's wall clock ahead (or back).
-    pub fn set_skew(&mut self, entry: EntryIndex, skew_ms: i64) {
+    pub fn set_clock_skew(&mut self, entry: EntryIndex, skew_ms: i64) {
         self.entries[entry].skew_ms = skew_ms;
     }
 }
--- a/crates/mastknot_virtual/src/system/message_counts.rs
+++ b/crates/mastknot_virtual/src/system/message_counts.rs
@@ -10,7 +10,7 @@
 
 impl MessageCounts {
     /// Counts one message.
-    pub fn note(&mut self, kind: MessageKind) {
+    pub fn record(&mut self, kind: MessageKind) {
         *self.counts.entry(kind).or_default() += 1;
     }
 
--- a/crates/mastknot_virtual/src/system/messages.rs
+++ b/crates/mastknot_virtual/src/system/messages.rs
@@ -7,7 +7,7 @@
 
 use super::virtual_system::*;
 use super::{EntryIndex, SideIndex};
-use crate::{Fate, MessageKind};
+use crate::{MessageFault, MessageKind};
 
 impl VirtualSystem {
     /// When a message sent now arrives, keeping the order of its link; none if it is cut off.
@@ -28,16 +28,16 @@
             return vec![at];
         };
         rule.count -= 1;
-        match rule.fate {
-            Fate::Lost => vec![],
-            Fate::Delayed(by) => vec![at + by.as_micros() as u64],
-            Fate::Duplicated(by) => vec![at, at + by.as_micros() as u64],
+        match rule.fault {
+            MessageFault::Lost => vec![],
+            MessageFault::Delayed(by) => vec![at + by.as_micros() as u64],
+            MessageFault::Duplicated(by) => vec![at, at + by.as_micros() as u64],
         }
     }
 
     pub(super) fn send_to_side(&mut self, from: EntryIndex, to: SideIndex, message: EntryMessage) {
         let kind = MessageKind::from(&message);
-        self.messages.note(kind);
+        self.messages.record(kind);
         self.fire(kind, Some(from), Some(to));
         let (a, b) = (entry_end(&self.entries[from]), side_end(&self.sides[to]));
         let entry = a.0.clone();
@@ -64,7 +64,7 @@
 
     pub(super) fn send_to_entry(&mut self, from: SideIndex, to: EntryIndex, message: SideMessage) {
         let kind = MessageKind::from(&message);
-        self.messages.note(kind);
+        self.messages.record(kind);
         self.fire(kind, Some(to), Some(from));
         let (a, b) = (side_end(&self.sides[from]), entry_end(&self.entries[to]));
         let side = a.0.clone();
@@ -108,7 +108,7 @@
 
     pub(super) fn send_to_peer(&mut self, from: EntryIndex, to: EntryIndex, message: PeerMessage) {
         let kind = MessageKind::from(&message);
-        self.messages.note(kind);
+        self.messages.record(kind);
         self.fire(kind, Some(to), None);
         let (a, b) = (entry_end(&self.entries[from]), entry_end(&self.entries[to]));
         let peer = self.entries[from].settings.me.id.clone();
--- a/crates/mastknot_virtual/src/system/mod.rs
+++ b/crates/mastknot_virtual/src/system/mod.rs
@@ -16,4 +16,4 @@
 pub use delays::Delays;
 pub use message_counts::MessageCounts;
 pub use nodes::{EntryIndex, SideIndex};
-pub use virtual_system::{Submitted, VirtualSystem};
+pub use virtual_system::{SubmittedRequest, VirtualSystem};
--- a/crates/mastknot_virtual/src/system/sides.rs
+++ b/crates/mastknot_virtual/src/system/sides.rs
@@ -53,7 +53,7 @@
         let tick = core.next_tick();
         let version = core.config().version();
         let name = self.sides[index].settings.side.clone();
-        self.audit.note_config(&name, version);
+        self.audit.record_config(&name, version);
         // A paused process can't begin to leave; it starts nothing meanwhile.
         if is_draining {
             let since = self.now;
@@ -118,11 +118,11 @@
         let incarnation = side.settings.incarnation;
         let name = side.settings.side.clone();
         side.runs.insert(task, (run, order.payload));
-        self.audit.note_start(task);
+        self.audit.record_start(task);
         let entry = self.entries.iter().position(|entry| entry.core.is_some());
         self.fire(MessageKind::Run, entry, Some(index));
         if is_late {
-            self.audit.report(Violation::StartedOnLeaving(name));
+            self.audit.report(Violation::StartedWhileLeaving(name));
         }
         let action = Action::RunEnds {
             side: index,
--- a/crates/mastknot_virtual/src/system/virtual_system.rs
+++ b/crates/mastknot_virtual/src/system/virtual_system.rs
@@ -11,14 +11,14 @@
 use super::nodes::{Entry, Side};
 use super::schedule::Schedule;
 use super::{Delays, EntryIndex, MessageCounts, SideIndex};
-use crate::{Audit, ProcessFault, Rule, Trigger, VirtualStore};
+use crate::{Audit, FaultRule, ProcessFault, Trigger, VirtualStore};
 
 /// The wall clock at the start, in milliseconds.
 const WALL_START: u64 = 1_800_000_000_000;
 
 /// A caller's request and its reply.
 #[derive(Clone, Debug)]
-pub struct Submitted {
+pub struct SubmittedRequest {
     /// What was submitted.
     pub submission: Submission,
     /// When the caller sent it, in microseconds.
@@ -91,7 +91,7 @@
     pub(super) schedule: Schedule<Action>,
     pub(super) entries: Vec<Entry>,
     pub(super) sides: Vec<Side>,
-    pub(super) rules: Vec<Rule>,
+    pub(super) rules: Vec<FaultRule>,
     pub(super) triggers: Vec<Trigger>,
     /// Pairs of halls without a connection.
     pub(super) cuts: BTreeSet<(Hall, Hall)>,
@@ -103,7 +103,7 @@
     pub(super) cut_number: u64,
     /// The latest delivery of each link, which keeps its order.
     pub(super) latest: HashMap<(NodeName, NodeName), u64>,
-    pub(super) requests: BTreeMap<RequestId, Submitted>,
+    pub(super) requests: BTreeMap<RequestId, SubmittedRequest>,
     pub(super) next_request: RequestId,
     pub(super) next_incarnation: u64,
     pub(super) steps: u64,
@@ -148,12 +148,12 @@
     }
 
     /// All requests of callers with their replies.
-    pub fn requests(&self) -> impl Iterator<Item = &Submitted> {
+    pub fn requests(&self) -> impl Iterator<Item = &SubmittedRequest> {
         self.requests.values()
     }
 
     /// A request with its reply.
-    pub fn request(&self, request: RequestId) -> &Submitted {
+    pub fn request(&self, request: RequestId) -> &SubmittedRequest {
         &self.requests[&request]
     }
 
--- a/crates/mastknot_virtual/tests/clock_of_another_life.rs
+++ b/crates/mastknot_virtual/tests/clock_of_another_life.rs
@@ -12,7 +12,7 @@
     let fault = JobFault::CrashTarget {
         side: 0,
         down: millis(down),
-        is_dark: true,
+        is_silent: true,
     };
     let at = millis(ms);
     JobFaultPlan { at, fault }
@@ -24,7 +24,7 @@
         sides: 2,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     });
     if keeps_names {
@@ -48,7 +48,7 @@
 
 fn ran_twice(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanTwice { .. }));
+    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
     twice.count()
 }
 
--- a/crates/mastknot_virtual/tests/cold_targets.rs
+++ b/crates/mastknot_virtual/tests/cold_targets.rs
@@ -23,11 +23,11 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed: 1,
     });
     system.run_until(secs(3));
-    system.chill(1, secs(9), is_hidden);
+    system.make_targets_cold(1, secs(9), is_hidden);
     let mut at = secs(5);
     let mut jobs: Vec<JobId> = Vec::new();
     while at < secs(9) {
--- a/crates/mastknot_virtual/tests/configuration_growth.rs
+++ b/crates/mastknot_virtual/tests/configuration_growth.rs
@@ -37,7 +37,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: Some(entry_link),
-        usual_links: None,
+        active_links: None,
         seed: 7,
     });
     system.publish(ms(100), 1, SMALL, &ALL);
@@ -164,7 +164,7 @@
             sides: 22,
             cpu_millis: 16_000,
             entry_link: Some(2_000_000 / 8),
-            usual_links: None,
+            active_links: None,
             seed: 7,
         });
         system.publish(ms(100), 1, SMALL, &ALL[..4]);
@@ -219,7 +219,7 @@
             "all entries held for a second",
             entries
                 .clone()
-                .map(|entry| JobFault::FreezeEntry {
+                .map(|entry| JobFault::PauseEntry {
                     entry,
                     time: second,
                 })
--- a/crates/mastknot_virtual/tests/contained_kinds.rs
+++ b/crates/mastknot_virtual/tests/contained_kinds.rs
@@ -22,7 +22,7 @@
     tasks: 1,
     after: Duration::from_millis(10),
     down: Duration::from_millis(3_300),
-    is_dark: false,
+    is_silent: false,
 };
 /// The share of its jobs with which a queue counts as served in a window.
 const WELL_SERVED: f64 = 0.95;
@@ -107,7 +107,7 @@
         sides: fleet.sides,
         cpu_millis: TARGET_CPU,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     });
     let mut rng = StdRng::seed_from_u64(seed);
@@ -128,7 +128,7 @@
             );
             let is_bad = bad.contains(&place) && span.holds(at);
             if is_bad && rng.random_range(0..BAD_ONE_IN) == 0 {
-                system.let_crash(job, CRASH);
+                system.make_tasks_crash_targets(job, CRASH);
                 play.1.push(job);
             } else {
                 play.0.push((place, at, job));
@@ -317,7 +317,7 @@
                 let fault = JobFault::CrashTarget {
                     side,
                     down,
-                    is_dark,
+                    is_silent: is_dark,
                 };
                 play.system.plan(JobFaultPlan { at, fault });
             }
--- a/crates/mastknot_virtual/tests/copies.rs
+++ b/crates/mastknot_virtual/tests/copies.rs
@@ -4,7 +4,7 @@
 
 use mastknot_core::job::{JobAnswer, JobId};
 use mastknot_virtual::{
-    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetMood,
+    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetBehaviour,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -34,7 +34,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -53,7 +53,7 @@
 /// What is wrong with a play, for a failed test to show.
 fn faults_found(system: &JobSystem) -> Option<String> {
     let violations = system.violations();
-    let left_over = system.left_over();
+    let left_over = system.held_jobs_and_runs();
     if violations.is_empty() && left_over == (0, 0) {
         return None;
     }
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_request_held_up_on_its_way_does_not_run_beside_its_copy() {
-    play_read_late(|time| JobFault::HoldRequests { entry: 0, time });
+    play_read_late(|time| JobFault::DelayRequests { entry: 0, time });
 }
 
 #[test]
@@ -168,7 +168,7 @@
     let about_a_copy = rng.random_range(3_000..4_800);
     let time = millis([short, about_a_copy][rng.random_range(0..2)]);
     match rng.random_range(0..3) {
-        0 => JobFault::HoldRequests { entry, time },
+        0 => JobFault::DelayRequests { entry, time },
         1 => JobFault::BreakCallers { entry },
         _ => JobFault::StallEntry { entry, time },
     }
@@ -182,20 +182,20 @@
     let directions = [Direction::ToSide, Direction::ToEntry, Direction::Both];
     let direction = directions[rng.random_range(0..3)];
     let moods = [
-        TargetMood::FailsAll,
-        TargetMood::StandsStill,
-        TargetMood::Slow(7),
-        TargetMood::AppliesLate(4),
-        TargetMood::LosesAnswers(4),
+        TargetBehaviour::FailsAll,
+        TargetBehaviour::Stalls,
+        TargetBehaviour::Slow(7),
+        TargetBehaviour::AppliesLate(4),
+        TargetBehaviour::LosesAnswers(4),
     ];
     let mood = moods[rng.random_range(0..moods.len())];
     let is_dark = rng.random_bool(0.5);
     match rng.random_range(0..12) {
         0 | 1 => JobFault::KillEntry { entry, down: time },
-        2 => JobFault::FreezeEntry { entry, time },
+        2 => JobFault::PauseEntry { entry, time },
         3 => JobFault::KillSide { side, down: time },
-        4 => JobFault::FreezeSide { side, time },
-        5 | 6 => JobFault::CutLink {
+        4 => JobFault::PauseSide { side, time },
+        5 | 6 => JobFault::PartitionLink {
             entry,
             side,
             direction,
@@ -207,9 +207,13 @@
         10 => JobFault::CrashTarget {
             side,
             down: time,
-            is_dark,
+            is_silent: is_dark,
+        },
+        _ => JobFault::Misbehave {
+            side,
+            behaviour: mood,
+            time,
         },
-        _ => JobFault::Mood { side, mood, time },
     }
 }
 
@@ -255,7 +259,7 @@
 /// The same where each entry reaches the sides that the others reach.
 #[test]
 fn copies_in_histories_without_cuts_run_alone() {
-    random_histories(|fault| matches!(fault, JobFault::CutLink { .. }));
+    random_histories(|fault| matches!(fault, JobFault::PartitionLink { .. }));
 }
 
 /// How many jobs there were, and how many were served.
--- a/crates/mastknot_virtual/tests/copies_beside_faults.rs
+++ b/crates/mastknot_virtual/tests/copies_beside_faults.rs
@@ -30,7 +30,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -54,7 +54,7 @@
     }
     system.run_until(millis(17_000));
     let violations = system.violations();
-    let left_over = system.left_over();
+    let left_over = system.held_jobs_and_runs();
     let served = system.audit().completed(&jobs);
     let is_right = violations.is_empty() && left_over == (0, 0) && served == jobs.len();
     let found = format!(
@@ -86,7 +86,7 @@
 }
 
 fn cut(entry: usize, side: usize, time: u64) -> JobFault {
-    JobFault::CutLink {
+    JobFault::PartitionLink {
         entry,
         side,
         direction: Direction::Both,
@@ -101,7 +101,7 @@
 
 fn assert_alone_when_frozen(time: u64) {
     let time = millis(time);
-    assert_copies_run_alone(|side| vec![JobFault::FreezeSide { side, time }]);
+    assert_copies_run_alone(|side| vec![JobFault::PauseSide { side, time }]);
 }
 
 #[test]
--- a/crates/mastknot_virtual/tests/crashing_tasks.rs
+++ b/crates/mastknot_virtual/tests/crashing_tasks.rs
@@ -35,7 +35,7 @@
     tasks: 2,
     after: Duration::from_millis(10),
     down: Duration::from_secs(3),
-    is_dark: false,
+    is_silent: false,
 };
 
 fn millis(ms: u64) -> Duration {
@@ -49,7 +49,7 @@
         sides: SIDES,
         cpu_millis: TARGET_CPU,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     });
     let jobs = (0..USUAL_JOBS).map(|number| {
@@ -156,7 +156,7 @@
             let (mut system, _) = fleet(seed);
             let crash = TaskCrash {
                 after: millis(after),
-                is_dark,
+                is_silent: is_dark,
                 ..CRASH
             };
             let crashing = submit_crashing(&mut system, 4, crash);
@@ -176,7 +176,7 @@
         let down = millis(250);
         let time = millis(900);
         faults.push(JobFault::KillEntry { entry, down });
-        faults.push(JobFault::FreezeEntry { entry, time });
+        faults.push(JobFault::PauseEntry { entry, time });
     }
     for side in 0..SIDES {
         let down = millis(150);
@@ -199,7 +199,7 @@
             system.run_until(END);
             let what = format!("{fault:?} after {delay} ms");
             assert_eq!(system.violations(), [], "{what}");
-            assert_eq!(system.left_over(), (0, 0), "{what}");
+            assert_eq!(system.held_jobs_and_runs(), (0, 0), "{what}");
             let crashed = crashed_by(&system, &crashing);
             assert!(
                 crashed.iter().all(|crashed| *crashed <= 3),
@@ -221,7 +221,7 @@
             let fault = JobFault::CrashTarget {
                 side,
                 down,
-                is_dark,
+                is_silent: is_dark,
             };
             system.plan(JobFaultPlan { at, fault });
         }
--- a/crates/mastknot_virtual/tests/drained_halls.rs
+++ b/crates/mastknot_virtual/tests/drained_halls.rs
@@ -30,7 +30,7 @@
         sides,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -83,7 +83,7 @@
         })
         .collect();
     system.drain(ms(3_000), 2);
-    system.give_back(ms(5_000), 2);
+    system.return_drained_hall(ms(5_000), 2);
     let counters = |system: &JobSystem| {
         let all = system.counters();
         let sum = |of: fn(&mastknot_core::scheduler::SchedulerCounters) -> u64| -> u64 {
@@ -114,8 +114,8 @@
 #[test]
 fn an_entry_that_is_cut_off_from_the_store_hears_it_over_its_links() {
     let mut system = system(ENTRIES, SIDES, 1);
-    system.cut_from_store(ms(60_000), 0);
-    system.cut_from_store(ms(60_000), 1);
+    system.disconnect_from_store(ms(60_000), 0);
+    system.disconnect_from_store(ms(60_000), 1);
     load(&mut system, ENTRIES, 1_500, 5_000, 20);
     system.drain(ms(3_000), 0);
     system.run_until(ms(3_200));
@@ -156,7 +156,7 @@
         plan(JobFault::CrashTarget {
             side,
             down,
-            is_dark,
+            is_silent: is_dark,
         });
     }
 }
@@ -167,7 +167,7 @@
     let mut system = system(ENTRIES, SIDES, 1);
     (0..HALLS).for_each(|hall| system.drain(ms(2_000), hall));
     let without = load(&mut system, ENTRIES, 2_100, 3_000, 20);
-    system.give_back(ms(3_000), 1);
+    system.return_drained_hall(ms(3_000), 1);
     let with = load(&mut system, ENTRIES, 3_100, 4_000, 20);
     system.run_until(ms(8_000));
     assert_eq!(system.violations(), []);
@@ -194,7 +194,7 @@
                 + *[60, 1_000, 6_500]
                     .get(rng.random_range(0..3))
                     .unwrap_or(&60);
-            system.give_back(ms(back), hall);
+            system.return_drained_hall(ms(back), hall);
             if rng.random_bool(0.3) {
                 system.drain(ms(back + rng.random_range(1..100)), hall);
             }
@@ -203,7 +203,7 @@
     // One entry at least reaches the store: the users' bound supposes a way to it.
     for entry in 1..ENTRIES {
         if rng.random_bool(0.4) {
-            system.cut_from_store(ms(rng.random_range(2_000..20_000)), entry);
+            system.disconnect_from_store(ms(rng.random_range(2_000..20_000)), entry);
         }
     }
     if rng.random_bool(0.3) {
@@ -226,9 +226,9 @@
     match rng.random_range(0..8) {
         0 => JobFault::KillEntry { entry, down },
         1 => JobFault::KillSide { side, down },
-        2 => JobFault::FreezeEntry { entry, time },
-        3 => JobFault::FreezeSide { side, time },
-        4 => JobFault::CutLink {
+        2 => JobFault::PauseEntry { entry, time },
+        3 => JobFault::PauseSide { side, time },
+        4 => JobFault::PartitionLink {
             entry,
             side,
             direction: Direction::Both,
@@ -239,7 +239,7 @@
         _ => JobFault::CrashTarget {
             side,
             down,
-            is_dark: rng.random_bool(0.5),
+            is_silent: rng.random_bool(0.5),
         },
     }
 }
@@ -258,7 +258,7 @@
     let histories = histories.and_then(|count| count.parse().ok());
     let mut longest = Duration::ZERO;
     for seed in 0..histories.unwrap_or(CI_HISTORIES) {
-        let system = history(seed, DrainVariant::Right);
+        let system = history(seed, DrainVariant::Correct);
         let violations = system.violations();
         assert_eq!(violations, [], "seed {seed}");
         longest = longest.max(system.audit().latest_drained_start());
@@ -269,7 +269,7 @@
 #[test]
 fn wrong_ways_are_noticed() {
     for variant in [
-        DrainVariant::LastWordWins,
+        DrainVariant::LastMessageWins,
         DrainVariant::SidesDoNotEnforce,
         DrainVariant::ForgottenOnRestart,
     ] {
--- a/crates/mastknot_virtual/tests/ended_before_crash.rs
+++ b/crates/mastknot_virtual/tests/ended_before_crash.rs
@@ -26,7 +26,7 @@
         sides: 11,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     });
     let job = system.submit(SUBMITTED, 0, 1, WORK);
@@ -34,7 +34,7 @@
         let fault = JobFault::CrashTarget {
             side,
             down: DOWN,
-            is_dark: false,
+            is_silent: false,
         };
         system.plan(JobFaultPlan { at, fault });
     }
--- a/crates/mastknot_virtual/tests/fault_matrix.rs
+++ b/crates/mastknot_virtual/tests/fault_matrix.rs
@@ -14,7 +14,9 @@
 use expect_test::expect_file;
 use mastknot_core::message::{Ran, Reply, SubmissionAnswer};
 use mastknot_core::types::NodeName;
-use mastknot_virtual::{Fate, MessageKind, ProcessFault, Rule, Trigger, VirtualSystem};
+use mastknot_virtual::{
+    FaultRule, MessageFault, MessageKind, ProcessFault, Trigger, VirtualSystem,
+};
 
 /// How long a process is paused: longer than any authority or credit lives.
 const PAUSE: Duration = Duration::from_secs(4);
@@ -126,9 +128,13 @@
     Fault::TargetLosesAnswers,
 ];
 
-fn message_fault(system: &mut VirtualSystem, kind: MessageKind, fate: Fate) {
+fn message_fault(system: &mut VirtualSystem, kind: MessageKind, fate: MessageFault) {
     let count = 2;
-    system.add_rule(Rule { kind, fate, count });
+    system.add_rule(FaultRule {
+        kind,
+        fault: fate,
+        count,
+    });
 }
 
 fn process_fault(
@@ -150,12 +156,20 @@
     let kind = step.kind();
     let restart = ProcessFault::Restarts(Duration::from_secs(2));
     match fault {
-        Fault::MessageLost => message_fault(system, kind, Fate::Lost),
+        Fault::MessageLost => message_fault(system, kind, MessageFault::Lost),
         Fault::MessageDelayed => {
-            message_fault(system, kind, Fate::Delayed(Duration::from_millis(700)));
+            message_fault(
+                system,
+                kind,
+                MessageFault::Delayed(Duration::from_millis(700)),
+            );
         }
         Fault::MessageDuplicated => {
-            message_fault(system, kind, Fate::Duplicated(Duration::from_millis(300)));
+            message_fault(
+                system,
+                kind,
+                MessageFault::Duplicated(Duration::from_millis(300)),
+            );
         }
         Fault::EntryDies => process_fault(system, kind, false, ProcessFault::Dies),
         Fault::EntryRestarts => process_fault(system, kind, false, restart),
@@ -168,7 +182,7 @@
             process_fault(system, kind, true, ProcessFault::Pauses(PAUSE));
         }
         Fault::StoreDown => system.store.faults.is_down = true,
-        Fault::StoreSlow => system.store.faults.slow = Duration::from_millis(800),
+        Fault::StoreSlow => system.store.faults.extra_delay = Duration::from_millis(800),
         Fault::StoreLosesAnswers => system.store.faults.lose_answers = 2,
         Fault::StaleReads => system.store.faults.stale_writes = 1,
         Fault::WatchSilent => system.store.faults.is_watch_silent = true,
@@ -176,8 +190,8 @@
             system.report_vm_gone("entry-1");
             system.report_vm_gone("side-1");
         }
-        Fault::HallCut => system.cut("h1", "h2"),
-        Fault::TargetStraggles => system.set_slow(0, 1_000),
+        Fault::HallCut => system.partition("h1", "h2"),
+        Fault::TargetStraggles => system.set_target_slowdown(0, 1_000),
         Fault::TargetRefuses => system.set_refusing(0, true),
         Fault::TargetLosesAnswers => system.lose_target_answers(0, 3),
     }
@@ -186,11 +200,11 @@
 fn end(system: &mut VirtualSystem, fault: Fault) {
     match fault {
         Fault::StoreDown => system.store.faults.is_down = false,
-        Fault::StoreSlow => system.store.faults.slow = Duration::ZERO,
+        Fault::StoreSlow => system.store.faults.extra_delay = Duration::ZERO,
         Fault::StaleReads => system.store.faults.stale_writes = 0,
         Fault::WatchSilent => system.store.faults.is_watch_silent = false,
         Fault::HallCut => system.heal("h1", "h2"),
-        Fault::TargetStraggles => system.set_slow(0, 100),
+        Fault::TargetStraggles => system.set_target_slowdown(0, 100),
         Fault::TargetRefuses => system.set_refusing(0, false),
         Fault::TargetLosesAnswers => system.lose_target_answers(0, 0),
         _ => {}
--- a/crates/mastknot_virtual/tests/forecast.rs
+++ b/crates/mastknot_virtual/tests/forecast.rs
@@ -31,7 +31,7 @@
 /// A burst of so many times what the targets bear, on top of the usual load.
 fn burst(times: f64, returns: u32) -> Play {
     let mut play = Play::with_scarcity(MIDDLE, FORECAST);
-    play.system.let_callers_return(returns);
+    play.system.set_max_returns(returns);
     let until = BURST_UNTIL + AFTER;
     play.submit(SETTLED, until, 1.0, |_| 1.0);
     play.submit(BURST_FROM, BURST_UNTIL, times / USUAL, |_| 1.0);
@@ -39,7 +39,7 @@
     play.system
         .run_until(until + MAX_RETRY_DELAY * returns + DRAINED);
     assert_eq!(play.system.violations(), []);
-    assert_eq!(play.system.left_over(), (0, 0));
+    assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
     let (early, late) = (refused_at_arrival(&play), refused_while_waiting(&play));
     let summary = play.summary();
     println!(
@@ -60,7 +60,7 @@
     play.watch(until);
     play.system.run_until(until + DRAINED);
     assert_eq!(play.system.violations(), []);
-    assert_eq!(play.system.left_over(), (0, 0));
+    assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
     let (early, late) = (refused_at_arrival(&play), refused_while_waiting(&play));
     let summary = play.summary();
     let with_room = play.refused_with_room;
--- a/crates/mastknot_virtual/tests/found_failures.rs
+++ b/crates/mastknot_virtual/tests/found_failures.rs
@@ -6,14 +6,14 @@
 
 use common::{assert_kept, is_complete, job, key_held_by, request, system};
 use mastknot_core::message::{Ran, RefusalReason, Reply};
-use mastknot_virtual::{Fate, MessageKind, Rule};
+use mastknot_virtual::{FaultRule, MessageFault, MessageKind};
 
 /// With the store slow and the authority lapsed, the next tick was always "now": a busy loop.
 #[test]
 fn a_lapsed_authority_does_not_spin() {
     let mut system = system(2, 1, 2, 1);
-    system.store.faults.slow = Duration::from_secs(5);
-    system.cut("h1", "h2");
+    system.store.faults.extra_delay = Duration::from_secs(5);
+    system.partition("h1", "h2");
     system.run_for(Duration::from_secs(2));
     let now = mastknot_core::types::Moment::from_micros(system.now());
     let entry = system.entry(0).unwrap();
@@ -32,9 +32,9 @@
 fn a_lost_forward_ends_in_an_honest_unknown() {
     let mut system = system(2, 1, 2, 2);
     let key = key_held_by(&mut system, 1);
-    system.add_rule(Rule {
+    system.add_rule(FaultRule {
         kind: MessageKind::Forward,
-        fate: Fate::Lost,
+        fault: MessageFault::Lost,
         count: 1,
     });
     let mut asked = request(key, "pay", 20);
--- a/crates/mastknot_virtual/tests/hard_load.rs
+++ b/crates/mastknot_virtual/tests/hard_load.rs
@@ -19,7 +19,7 @@
         let messages = play.messages_per_run(SETTLED, until);
         play.system.run_until(until + DRAINED);
         assert_eq!(play.system.violations(), [], "{times} times the usual load");
-        assert_eq!(play.system.left_over(), (0, 0));
+        assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
         let summary = play.summary();
         println!("{times}: {summary}, {messages:.2} messages a run, {empty:.3} empty");
     }
--- a/crates/mastknot_virtual/tests/holds_of_others.rs
+++ b/crates/mastknot_virtual/tests/holds_of_others.rs
@@ -16,7 +16,7 @@
         sides: 2,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -24,7 +24,7 @@
 /// One entry's runs keep the hold young; the other one starts tasks under an old lease, and the side stands still or dies.
 fn play(cut_ms: u64, start_ms: u64, seed: u64, end: JobFault) -> JobSystem {
     let mut system = system(seed);
-    let cut = JobFault::CutLink {
+    let cut = JobFault::PartitionLink {
         entry: 1,
         side: 0,
         direction: Direction::ToEntry,
@@ -48,7 +48,7 @@
 
 fn ran_twice(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanTwice { .. }));
+    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
     twice.count()
 }
 
@@ -58,7 +58,7 @@
     let (side, down, time) = (0, millis(4_000), millis(4_000));
     let ends = [
         JobFault::KillSide { side, down },
-        JobFault::FreezeSide { side, time },
+        JobFault::PauseSide { side, time },
         JobFault::SuspendSide { side, time },
     ];
     for end in ends {
--- a/crates/mastknot_virtual/tests/hopeless_tasks.rs
+++ b/crates/mastknot_virtual/tests/hopeless_tasks.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mastknot_core::job::{JobAnswer, JobId, TaskRef};
-use mastknot_virtual::{JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetMood};
+use mastknot_virtual::{JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetBehaviour};
 
 const ENTRIES: usize = 4;
 const SIDES: usize = 11;
@@ -30,7 +30,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -45,7 +45,7 @@
 }
 
 /// Half of what the targets bear for six seconds; one job in `every` has a task of this mood.
-fn play(seed: u64, every: u64, mood: TargetMood) -> Played {
+fn play(seed: u64, every: u64, mood: TargetBehaviour) -> Played {
     let mut system = system(seed);
     let mut usual = Vec::new();
     let mut bad = Vec::new();
@@ -54,7 +54,7 @@
         let at = millis(1_000 + number * 20);
         let entry = number as usize % ENTRIES;
         if number % every == 0 {
-            bad.push(system.submit_with_mood(at, entry, tasks, work, mood));
+            bad.push(system.submit_with_behaviour(at, entry, tasks, work, mood));
         } else {
             usual.push(system.submit(at, entry, tasks, work));
         }
@@ -84,7 +84,7 @@
 }
 
 /// Every bad task is given up after so many starts, and no other job pays for it.
-fn assert_given_up(every: u64, mood: TargetMood, most_starts: u32) {
+fn assert_given_up(every: u64, mood: TargetBehaviour, most_starts: u32) {
     for seed in 0..3 {
         let played = play(seed, every, mood);
         let what = format!("seed {seed}, one job in {every}");
@@ -100,7 +100,7 @@
 #[test]
 fn tasks_that_fail_everywhere_are_given_up_though_targets_look_bad() {
     for every in [20, 5, 2] {
-        assert_given_up(every, TargetMood::FailsAll, 6);
+        assert_given_up(every, TargetBehaviour::FailsAll, 6);
     }
 }
 
@@ -108,13 +108,13 @@
 #[test]
 fn tasks_that_stand_still_everywhere_are_given_up() {
     for every in [20, 5] {
-        assert_given_up(every, TargetMood::StandsStill, 4);
+        assert_given_up(every, TargetBehaviour::Stalls, 4);
     }
 }
 
 #[test]
 fn no_job_fails_because_targets_are_bad() {
-    let moods = [TargetMood::FailsAll, TargetMood::StandsStill];
+    let moods = [TargetBehaviour::FailsAll, TargetBehaviour::Stalls];
     for (seed, mood) in (0..4).flat_map(|seed| moods.map(|mood| (seed, mood))) {
         for bad_targets in [2, 5] {
             let mut system = system(seed);
@@ -124,9 +124,9 @@
                 system.submit(at, number as usize % ENTRIES, tasks, work);
             }
             for side in 0..bad_targets {
-                let fault = JobFault::Mood {
+                let fault = JobFault::Misbehave {
                     side,
-                    mood,
+                    behaviour: mood,
                     time: millis(4_000),
                 };
                 let at = millis(2_000);
--- a/crates/mastknot_virtual/tests/job_faults.rs
+++ b/crates/mastknot_virtual/tests/job_faults.rs
@@ -4,7 +4,7 @@
 
 use mastknot_core::job::JobAnswer;
 use mastknot_virtual::{
-    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetMood,
+    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetBehaviour,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -24,7 +24,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -59,7 +59,7 @@
             .collect::<String>()
     };
     assert_eq!(
-        system.left_over(),
+        system.held_jobs_and_runs(),
         (0, 0),
         "{what}: left over in {}",
         held()
@@ -101,14 +101,14 @@
         ),
         (
             "entry frozen",
-            JobFault::FreezeEntry {
+            JobFault::PauseEntry {
                 entry: 0,
                 time: millis(3_000),
             },
         ),
         (
             "entry frozen for the length of a lease",
-            JobFault::FreezeEntry {
+            JobFault::PauseEntry {
                 entry: 0,
                 time: millis(360),
             },
@@ -157,14 +157,14 @@
         ),
         (
             "side frozen",
-            JobFault::FreezeSide {
+            JobFault::PauseSide {
                 side: 0,
                 time: millis(3_000),
             },
         ),
         (
             "side frozen for the length of a lease",
-            JobFault::FreezeSide {
+            JobFault::PauseSide {
                 side: 0,
                 time: millis(360),
             },
@@ -179,7 +179,7 @@
             JobFault::CrashTarget {
                 side: 0,
                 down: millis(500),
-                is_dark: false,
+                is_silent: false,
             },
         ),
         (
@@ -187,13 +187,13 @@
             JobFault::CrashTarget {
                 side: 0,
                 down: millis(2_500),
-                is_dark: true,
+                is_silent: true,
             },
         ),
     ];
     for direction in [Direction::ToSide, Direction::ToEntry, Direction::Both] {
         for time in [200, 345, 370, 620, 3_000] {
-            let fault = JobFault::CutLink {
+            let fault = JobFault::PartitionLink {
                 entry: 0,
                 side: 0,
                 direction,
@@ -203,17 +203,17 @@
         }
     }
     for mood in [
-        TargetMood::FailsAll,
-        TargetMood::StandsStill,
-        TargetMood::Slow(8),
-        TargetMood::AppliesLate(3),
-        TargetMood::LosesAnswers(3),
+        TargetBehaviour::FailsAll,
+        TargetBehaviour::Stalls,
+        TargetBehaviour::Slow(8),
+        TargetBehaviour::AppliesLate(3),
+        TargetBehaviour::LosesAnswers(3),
     ] {
         faults.push((
             "target in a mood",
-            JobFault::Mood {
+            JobFault::Misbehave {
                 side: 0,
-                mood,
+                behaviour: mood,
                 time: millis(4_000),
             },
         ));
@@ -261,7 +261,7 @@
             let mut system = system(step);
             for job in 0..8 {
                 let id = system.submit(millis(1_000 + 5 * job), 0, 4, millis(900));
-                system.leave(millis(1_040 + 30 * step + job), id);
+                system.abandon_job(millis(1_040 + 30 * step + job), id);
             }
             let at = Duration::from_micros(1_000_000 + step * 33_370);
             system.plan(JobFaultPlan { at, fault });
@@ -307,9 +307,9 @@
 fn a_target_that_fails_all_it_starts_does_not_draw_the_work() {
     let mut system = system(3);
     let jobs = load(&mut system, 200, 6_000);
-    let fault = JobFault::Mood {
+    let fault = JobFault::Misbehave {
         side: 1,
-        mood: TargetMood::FailsAll,
+        behaviour: TargetBehaviour::FailsAll,
         time: millis(20_000),
     };
     system.plan(JobFaultPlan {
@@ -331,9 +331,9 @@
 fn a_target_that_stands_still_costs_little() {
     let mut system = system(4);
     let jobs = load(&mut system, 200, 6_000);
-    let fault = JobFault::Mood {
+    let fault = JobFault::Misbehave {
         side: 1,
-        mood: TargetMood::StandsStill,
+        behaviour: TargetBehaviour::Stalls,
         time: millis(20_000),
     };
     system.plan(JobFaultPlan {
@@ -380,7 +380,7 @@
     for seed in 0..100 {
         let system = play_resizes(seed, |_| {});
         assert_kept(&system, &format!("seed {seed}"));
-        let system = play_resizes(seed, JobSystem::unguard_targets);
+        let system = play_resizes(seed, JobSystem::disable_target_capacity_checks);
         assert_kept(&system, &format!("seed {seed}, unguarded"));
     }
 }
@@ -389,7 +389,7 @@
 fn sides_that_go_by_the_first_room_would_overfill_targets() {
     let is_broken = |seed: &u64| {
         let system = play_resizes(*seed, |system| {
-            system.unguard_targets();
+            system.disable_target_capacity_checks();
             system.hide_resizes();
         });
         !system.violations().is_empty()
@@ -403,7 +403,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut system = system(seed);
     if has_steady_clocks {
-        system.use_steady_clocks();
+        system.use_clocks_stopped_by_suspension();
     }
     load(&mut system, 200, 4_600);
     for _ in 0..6 {
@@ -451,13 +451,13 @@
     let time = millis(rng.random_range(20..3_500));
     match rng.random_range(0..10) {
         0 => JobFault::KillEntry { entry, down: time },
-        1 => JobFault::FreezeEntry { entry, time },
+        1 => JobFault::PauseEntry { entry, time },
         2 => JobFault::KillSide { side, down: time },
-        3 => JobFault::FreezeSide { side, time },
+        3 => JobFault::PauseSide { side, time },
         4 | 5 => {
             let directions = [Direction::ToSide, Direction::ToEntry, Direction::Both];
             let direction = directions[rng.random_range(0..3)];
-            JobFault::CutLink {
+            JobFault::PartitionLink {
                 entry,
                 side,
                 direction,
@@ -469,18 +469,22 @@
         7 => JobFault::CrashTarget {
             side,
             down: time,
-            is_dark: rng.random_bool(0.5),
+            is_silent: rng.random_bool(0.5),
         },
         _ => {
             let moods = [
-                TargetMood::FailsAll,
-                TargetMood::StandsStill,
-                TargetMood::Slow(7),
-                TargetMood::AppliesLate(4),
-                TargetMood::LosesAnswers(4),
+                TargetBehaviour::FailsAll,
+                TargetBehaviour::Stalls,
+                TargetBehaviour::Slow(7),
+                TargetBehaviour::AppliesLate(4),
+                TargetBehaviour::LosesAnswers(4),
             ];
             let mood = moods[rng.random_range(0..moods.len())];
-            JobFault::Mood { side, mood, time }
+            JobFault::Misbehave {
+                side,
+                behaviour: mood,
+                time,
+            }
         }
     }
 }
--- a/crates/mastknot_virtual/tests/job_overload.rs
+++ b/crates/mastknot_virtual/tests/job_overload.rs
@@ -60,7 +60,7 @@
         sides: SIDES,
         cpu_millis: TARGET_CPU,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -108,7 +108,11 @@
     let jobs = submit_load(&mut system, &mut rng, SETTLED_MS, until, load);
     system.run_until(Duration::from_millis(until + 10_000));
     assert_eq!(system.violations(), [], "seed {seed}, load {load}");
-    assert_eq!(system.left_over(), (0, 0), "seed {seed}, load {load}");
+    assert_eq!(
+        system.held_jobs_and_runs(),
+        (0, 0),
+        "seed {seed}, load {load}"
+    );
     (system, jobs)
 }
 
--- a/crates/mastknot_virtual/tests/large_fleet.rs
+++ b/crates/mastknot_virtual/tests/large_fleet.rs
@@ -83,7 +83,7 @@
             sides,
             cpu_millis: TARGET_CPU,
             entry_link: None,
-            usual_links,
+            active_links: usual_links,
             seed: 1,
         });
         let mut rng = StdRng::seed_from_u64(1);
@@ -156,7 +156,7 @@
         assert!(refused <= 0.01, "{entries} x {sides}: {refused:.3} refused");
         assert!(completed >= 0.99, "{entries} x {sides}: {completed:.3}");
         assert_eq!(fleet.system.violations(), []);
-        assert_eq!(fleet.system.left_over(), (0, 0));
+        assert_eq!(fleet.system.held_jobs_and_runs(), (0, 0));
     }
 }
 
@@ -223,7 +223,7 @@
                 JobFault::CrashTarget {
                     side,
                     down: gone,
-                    is_dark,
+                    is_silent: is_dark,
                 },
             );
         }
@@ -244,7 +244,7 @@
         sides: 70,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed: 1,
     });
     let jobs = submit_in_waves(&mut system, 13, 700.0 * 0.75, Duration::from_secs(22));
@@ -254,7 +254,7 @@
         let fault = JobFault::CrashTarget {
             side,
             down,
-            is_dark,
+            is_silent: is_dark,
         };
         let at = Duration::from_secs(10);
         system.plan(JobFaultPlan { at, fault });
--- a/crates/mastknot_virtual/tests/learned_profile.rs
+++ b/crates/mastknot_virtual/tests/learned_profile.rs
@@ -16,7 +16,7 @@
     tasks: 1,
     after: Duration::from_millis(10),
     down: Duration::from_millis(3_300),
-    is_dark: false,
+    is_silent: false,
 };
 
 fn millis(ms: u64) -> Duration {
@@ -33,7 +33,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed: 1,
     });
     system.set_speeds(speeds);
@@ -163,12 +163,12 @@
     submit(&mut system, 1_000, 1_800_000, 400);
     system.run_until(millis(1_800_000));
     let store = system.profile_store();
-    let calls = store.reads + store.writes.len() + store.refused;
+    let calls = store.reads + store.writes.len() + store.refused_writes;
     let renewals = 1_800 / 2 * ENTRIES;
     assert!(calls * 20 <= renewals, "{calls} calls: {store:?}");
     println!(
         "{} reads, writes {:?}, {} refused",
-        store.reads, store.writes, store.refused
+        store.reads, store.writes, store.refused_writes
     );
 }
 
@@ -206,7 +206,7 @@
     older[0] -= 1;
     for value in [half, older, b"{}".to_vec(), Vec::new(), vec![0; 1 << 20]] {
         let system = with_document(value);
-        assert_eq!(system.profile_store().not_taken, ENTRIES);
+        assert_eq!(system.profile_store().unusable_documents, ENTRIES);
         assert_eq!(profiles_read(&system), [0; ENTRIES]);
         assert_eq!(document(&system).slowdowns.len(), 2);
     }
@@ -231,7 +231,7 @@
     submit(&mut system, 1_000, WRITTEN_MS, 50);
     restart_all(&mut system, WRITTEN_MS + 2_000);
     system.run_until(millis(WRITTEN_MS + 1_900));
-    system.turn_profile_calls_away(millis(WRITTEN_MS + 12_000));
+    system.reject_profile_calls(millis(WRITTEN_MS + 12_000));
     let from = WRITTEN_MS + 4_000;
     let jobs = submit(&mut system, from, from + 6_000, 50);
     system.run_until(millis(WRITTEN_MS + 11_000));
@@ -251,13 +251,13 @@
     let mut system = self::system(true);
     submit(&mut system, 1_000, 400_000, 100);
     system.run_until(millis(5_000));
-    system.cut_from_store(millis(360_000), first);
+    system.disconnect_from_store(millis(360_000), first);
     system.run_until(millis(350_000));
     let others = writers(&system);
     assert_eq!(others.len(), 1, "{:?}", system.profile_store().writes);
     assert_ne!(others[0], first);
     system.run_until(millis(480_000));
-    assert!(system.profile_store().refused > 0);
+    assert!(system.profile_store().refused_writes > 0);
     assert!(profiles_read(&system)[first] > 0);
 }
 
@@ -270,7 +270,7 @@
         for number in 0..30 {
             let at = millis(2_000 + number * 200);
             let bad = system.submit_to("bad", at, number as usize % ENTRIES, 1, millis(60));
-            system.let_crash(bad, CRASH);
+            system.make_tasks_crash_targets(bad, CRASH);
         }
         restart_all(&mut system, 8_500);
         system.run_until(millis(8_900));
--- a/crates/mastknot_virtual/tests/linked_again.rs
+++ b/crates/mastknot_virtual/tests/linked_again.rs
@@ -21,13 +21,13 @@
         sides: 2,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
 
 fn cut(at: Duration, direction: Direction, time: Duration) -> JobFaultPlan {
-    let fault = JobFault::CutLink {
+    let fault = JobFault::PartitionLink {
         entry: 0,
         side: 0,
         direction,
@@ -54,7 +54,7 @@
 
 fn ran_twice(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanTwice { .. }));
+    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
     twice.count()
 }
 
--- a/crates/mastknot_virtual/tests/load/mod.rs
+++ b/crates/mastknot_virtual/tests/load/mod.rs
@@ -128,7 +128,7 @@
             sides: fleet.sides,
             cpu_millis: TARGET_CPU,
             entry_link: None,
-            usual_links: None,
+            active_links: None,
             seed: fleet.seed,
         };
         let mut system = JobSystem::with_scarcity(settings, scarcity);
@@ -207,7 +207,7 @@
         let work = Duration::from_micros((work_ms * 1_000.0) as u64);
         let guess = work.mul_f64(self.off_by(GUESS_OFF));
         let id = self.system.submit_to(spec.queue, at, entry, tasks, work);
-        self.system.set_guess(id, guess);
+        self.system.set_estimate(id, guess);
         self.jobs.push(Submitted {
             id,
             kind,
--- a/crates/mastknot_virtual/tests/long_jobs_at_once.rs
+++ b/crates/mastknot_virtual/tests/long_jobs_at_once.rs
@@ -59,7 +59,7 @@
             sides: SIDES,
             cpu_millis: TARGET_CPU,
             entry_link: None,
-            usual_links: None,
+            active_links: None,
             seed: 1,
         });
         let jobs = Vec::new();
--- a/crates/mastknot_virtual/tests/plays_repeat.rs
+++ b/crates/mastknot_virtual/tests/plays_repeat.rs
@@ -29,7 +29,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     });
     let mut rng = StdRng::seed_from_u64(seed);
--- a/crates/mastknot_virtual/tests/random_histories.rs
+++ b/crates/mastknot_virtual/tests/random_histories.rs
@@ -9,7 +9,7 @@
 
 use common::{assert_kept, job, request, system};
 use mastknot_core::message::Submission;
-use mastknot_virtual::{Fate, MessageKind, Rule, VirtualSystem};
+use mastknot_virtual::{FaultRule, MessageFault, MessageKind, VirtualSystem};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -60,18 +60,18 @@
     StaleReads(u64),
     Cut(usize, usize),
     Heal(usize, usize),
-    Message(usize, Fate),
+    Message(usize, MessageFault),
     Refuse(usize, bool),
     LoseAnswers(usize),
     Configure(u32),
     Wait(u64),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fate() -> impl Strategy<Value = MessageFault> {
     prop_oneof![
-        Just(Fate::Lost),
-        (1..3_000_u64).prop_map(|ms| Fate::Delayed(Duration::from_millis(ms))),
-        (1..3_000_u64).prop_map(|ms| Fate::Duplicated(Duration::from_millis(ms))),
+        Just(MessageFault::Lost),
+        (1..3_000_u64).prop_map(|ms| MessageFault::Delayed(Duration::from_millis(ms))),
+        (1..3_000_u64).prop_map(|ms| MessageFault::Duplicated(Duration::from_millis(ms))),
     ]
 }
 
@@ -133,7 +133,7 @@
         Op::StartEntry(entry) if system.entry(*entry).is_none() => system.start_entry(*entry),
         Op::StopEntry(entry) => system.stop_entry(*entry),
         Op::PauseEntry(entry, ms) => system.pause_entry(*entry, millis(*ms)),
-        Op::SkewEntry(entry, ms) => system.set_skew(*entry, *ms),
+        Op::SkewEntry(entry, ms) => system.set_clock_skew(*entry, *ms),
         Op::KillSide(side) if system.side(*side).is_some() => system.kill_side(*side),
         Op::StartSide(side) if system.side(*side).is_none() => system.start_side(*side),
         Op::PauseSide(side, ms) => system.pause_side(*side, millis(*ms)),
@@ -141,11 +141,11 @@
         Op::StoreDown(is_down) => system.store.faults.is_down = *is_down,
         Op::StoreLosesAnswers(count) => system.store.faults.lose_answers = *count,
         Op::StaleReads(writes) => system.store.faults.stale_writes = *writes,
-        Op::Cut(a, b) if a != b => system.cut(HALLS[*a], HALLS[*b]),
+        Op::Cut(a, b) if a != b => system.partition(HALLS[*a], HALLS[*b]),
         Op::Heal(a, b) if a != b => system.heal(HALLS[*a], HALLS[*b]),
-        Op::Message(kind, fate) => system.add_rule(Rule {
+        Op::Message(kind, fate) => system.add_rule(FaultRule {
             kind: KINDS[*kind],
-            fate: *fate,
+            fault: *fate,
             count: 1,
         }),
         Op::Refuse(side, is_refusing) => system.set_refusing(*side, *is_refusing),
--- a/crates/mastknot_virtual/tests/rebirths.rs
+++ b/crates/mastknot_virtual/tests/rebirths.rs
@@ -37,7 +37,7 @@
         sides: SIDES,
         cpu_millis: TARGET_CPU,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
@@ -62,7 +62,7 @@
         fault: JobFault::CrashTarget {
             side,
             down: millis(down),
-            is_dark,
+            is_silent: is_dark,
         },
     }
 }
@@ -73,11 +73,11 @@
     let time = millis(rng.random_range(20..3_000));
     match rng.random_range(0..6) {
         0 => JobFault::KillSide { side, down: time },
-        1 => JobFault::FreezeSide { side, time },
-        2 => JobFault::HoldReports { side, time },
+        1 => JobFault::PauseSide { side, time },
+        2 => JobFault::DelayReports { side, time },
         3 => JobFault::KillEntry { entry, down: time },
         4 => JobFault::SuspendSide { side, time },
-        _ => JobFault::CutLink {
+        _ => JobFault::PartitionLink {
             entry,
             side,
             direction: Direction::Both,
@@ -113,7 +113,7 @@
     for seed in 0..histories() {
         let system = play(seed, JobSystem::keep_target_names);
         assert_eq!(system.violations(), [], "seed {seed}");
-        assert_eq!(system.left_over(), (0, 0), "seed {seed}");
+        assert_eq!(system.held_jobs_and_runs(), (0, 0), "seed {seed}");
     }
 }
 
@@ -122,10 +122,10 @@
     for seed in 0..histories() {
         let system = play(seed, |system| {
             system.keep_target_names();
-            system.lengthen_holds(LONG_HOLD);
+            system.set_max_hold(LONG_HOLD);
         });
         assert_eq!(system.violations(), [], "seed {seed}");
-        assert_eq!(system.left_over(), (0, 0), "seed {seed}");
+        assert_eq!(system.held_jobs_and_runs(), (0, 0), "seed {seed}");
     }
 }
 
@@ -154,7 +154,7 @@
 fn broken(prepare: impl Fn(&mut JobSystem)) -> usize {
     let is_broken = |seed: &u64| {
         let system = play(*seed, &prepare);
-        !system.violations().is_empty() || system.left_over() != (0, 0)
+        !system.violations().is_empty() || system.held_jobs_and_runs() != (0, 0)
     };
     (0..histories()).filter(is_broken).count()
 }
@@ -162,8 +162,8 @@
 #[test]
 fn lives_told_apart_by_name_alone_are_caught() {
     let broken = broken(|system| {
-        system.hide_births();
-        system.lengthen_holds(LONG_HOLD);
+        system.omit_start_times();
+        system.set_max_hold(LONG_HOLD);
     });
     assert!(broken > 0, "the audit does not see it");
 }
@@ -171,8 +171,8 @@
 #[test]
 fn lives_told_apart_by_report_numbers_alone_are_caught() {
     let broken = broken(|system| {
-        system.number_births();
-        system.lengthen_holds(LONG_HOLD);
+        system.infer_restarts_from_report_numbers();
+        system.set_max_hold(LONG_HOLD);
     });
     assert!(broken > 0, "the audit does not see it");
 }
--- a/crates/mastknot_virtual/tests/room_grants.rs
+++ b/crates/mastknot_virtual/tests/room_grants.rs
@@ -46,7 +46,7 @@
     let messages = play.messages_per_run(SETTLED, until);
     play.system.run_until(until + DRAINED);
     assert_eq!(play.system.violations(), [], "{times} times the usual load");
-    assert_eq!(play.system.left_over(), (0, 0));
+    assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
     let (entries, summary) = (fleet.entries, play.summary());
     println!(
         "{entries} entries, {times}, grants {grants}: {summary}, {messages:.2} messages a run, {empty:.3} empty"
@@ -142,10 +142,10 @@
         down: time,
     };
     play.system.plan(JobFaultPlan { at, fault: kill });
-    let freeze = JobFault::FreezeEntry { entry: 1, time };
+    let freeze = JobFault::PauseEntry { entry: 1, time };
     play.system.plan(JobFaultPlan { at, fault: freeze });
     for side in 0..MIDDLE.sides {
-        let fault = JobFault::CutLink {
+        let fault = JobFault::PartitionLink {
             entry: 2,
             side,
             direction: Direction::Both,
@@ -156,7 +156,7 @@
     play.run(until);
     play.system.run_until(until + DRAINED);
     assert_eq!(play.system.violations(), []);
-    assert_eq!(play.system.left_over(), (0, 0));
+    assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
     println!("three entries lost: {}", play.summary());
 }
 
@@ -164,7 +164,7 @@
 #[test]
 fn a_grant_that_is_told_to_two_entries_is_seen() {
     let mut play = Play::new(MIDDLE);
-    play.system.grant_twice();
+    play.system.duplicate_grants();
     let until = SETTLED + LOADED;
     play.submit(SETTLED, until, 1.6, |_| 1.0);
     play.run(until);
--- a/crates/mastknot_virtual/tests/runs_called_over.rs
+++ b/crates/mastknot_virtual/tests/runs_called_over.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mastknot_virtual::{
-    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, JobViolation, TargetMood,
+    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, JobViolation, TargetBehaviour,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -31,12 +31,12 @@
     [Direction::ToSide, Direction::ToEntry, Direction::Both][rng.random_range(0..3)]
 }
 
-fn mood(rng: &mut StdRng) -> TargetMood {
+fn mood(rng: &mut StdRng) -> TargetBehaviour {
     let moods = [
-        TargetMood::AppliesLate(3),
-        TargetMood::LosesAnswers(2),
-        TargetMood::StopsLate(3),
-        TargetMood::StandsStill,
+        TargetBehaviour::AppliesLate(3),
+        TargetBehaviour::LosesAnswers(2),
+        TargetBehaviour::StopsLate(3),
+        TargetBehaviour::Stalls,
     ];
     moods[rng.random_range(0..moods.len())]
 }
@@ -48,20 +48,20 @@
     match rng.random_range(0..11) {
         0 => JobFault::KillSide { side, down: time },
         1 => JobFault::KillEntry { entry, down: time },
-        2 => JobFault::FreezeEntry { entry, time },
+        2 => JobFault::PauseEntry { entry, time },
         3 => JobFault::SilenceLink { entry, side },
         4 | 5 => JobFault::ResetLink { entry, side },
-        6 => JobFault::Mood {
+        6 => JobFault::Misbehave {
             side,
-            mood: mood(rng),
+            behaviour: mood(rng),
             time,
         },
         7 => JobFault::CrashTarget {
             side,
             down: millis(rng.random_range(5..600)),
-            is_dark: rng.random_bool(0.5),
+            is_silent: rng.random_bool(0.5),
         },
-        _ => JobFault::CutLink {
+        _ => JobFault::PartitionLink {
             entry,
             side,
             direction: direction(rng),
@@ -91,7 +91,7 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     });
     if seed.is_multiple_of(3) {
@@ -117,7 +117,8 @@
         let system = play(seed);
         assert_eq!(system.runs_unclaimed(), 0, "seed {seed}");
         let violations = system.violations();
-        let is_twice = |broken: &&JobViolation| matches!(broken, JobViolation::RanTwice { .. });
+        let is_twice =
+            |broken: &&JobViolation| matches!(broken, JobViolation::RanConcurrently { .. });
         let twice = violations.iter().find(is_twice);
         assert_eq!(twice, None, "seed {seed}");
     }
--- a/crates/mastknot_virtual/tests/shares.rs
+++ b/crates/mastknot_virtual/tests/shares.rs
@@ -81,7 +81,7 @@
     play.run(until);
     play.system.run_until(until + DRAINED);
     assert_eq!(play.system.violations(), []);
-    assert_eq!(play.system.left_over(), (0, 0));
+    assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
 }
 
 fn hand_in(play: &mut Play, times: f64, weight: impl Fn(usize) -> f64) {
@@ -200,13 +200,13 @@
 fn nor_while_entries_are_frozen() {
     let time = STRUCK_FOR;
     assert_usual(usual_halls(|entry| {
-        vec![JobFault::FreezeEntry { entry, time }]
+        vec![JobFault::PauseEntry { entry, time }]
     }));
 }
 
 #[test]
 fn nor_while_entries_are_cut_off() {
-    let cut = |entry, side| JobFault::CutLink {
+    let cut = |entry, side| JobFault::PartitionLink {
         entry,
         side,
         direction: Direction::Both,
--- a/crates/mastknot_virtual/tests/silent_standby.rs
+++ b/crates/mastknot_virtual/tests/silent_standby.rs
@@ -21,13 +21,13 @@
             sides: SIDES,
             cpu_millis: 16_000,
             entry_link: None,
-            usual_links: Some(3),
+            active_links: Some(3),
             seed,
         });
         let at = Duration::from_millis(FROZEN_AT);
         let time = Duration::from_secs(8);
         for side in 0..FROZEN {
-            let fault = JobFault::FreezeSide { side, time };
+            let fault = JobFault::PauseSide { side, time };
             system.plan(JobFaultPlan { at, fault });
         }
         let mut jobs = Vec::new();
--- a/crates/mastknot_virtual/tests/stale_clocks.rs
+++ b/crates/mastknot_virtual/tests/stale_clocks.rs
@@ -20,7 +20,7 @@
             sides: 3,
             cpu_millis: 16_000,
             entry_link: None,
-            usual_links: None,
+            active_links: None,
             seed,
         });
         for job in 0..6 {
--- a/crates/mastknot_virtual/tests/standby_links.rs
+++ b/crates/mastknot_virtual/tests/standby_links.rs
@@ -4,7 +4,7 @@
 
 use mastknot_core::job::{JobAnswer, JobId};
 use mastknot_virtual::{
-    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetMood,
+    Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, TargetBehaviour,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -22,7 +22,7 @@
         sides,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links,
+        active_links: usual_links,
         seed,
     })
 }
@@ -90,10 +90,10 @@
     let time = ms(rng.random_range(50..3_000));
     match rng.random_range(0..8) {
         0 => JobFault::KillEntry { entry, down: time },
-        1 => JobFault::FreezeEntry { entry, time },
+        1 => JobFault::PauseEntry { entry, time },
         2 => JobFault::KillSide { side, down: time },
-        3 => JobFault::FreezeSide { side, time },
-        4 => JobFault::CutLink {
+        3 => JobFault::PauseSide { side, time },
+        4 => JobFault::PartitionLink {
             entry,
             side,
             direction: [Direction::ToSide, Direction::ToEntry, Direction::Both]
@@ -104,11 +104,11 @@
         6 => JobFault::CrashTarget {
             side,
             down: time,
-            is_dark: rng.random(),
+            is_silent: rng.random(),
         },
-        _ => JobFault::Mood {
+        _ => JobFault::Misbehave {
             side,
-            mood: TargetMood::Sound,
+            behaviour: TargetBehaviour::Healthy,
             time,
         },
     }
@@ -139,6 +139,6 @@
         system.run_until(ms(20_000));
         let violations = system.violations();
         assert!(violations.is_empty(), "seed {seed}: {:?}", violations[0]);
-        assert_eq!(system.left_over(), (0, 0), "seed {seed}");
+        assert_eq!(system.held_jobs_and_runs(), (0, 0), "seed {seed}");
     }
 }
--- a/crates/mastknot_virtual/tests/unanswered_stops.rs
+++ b/crates/mastknot_virtual/tests/unanswered_stops.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mastknot_virtual::{
-    JobFault, JobFaultPlan, JobSystem, JobSystemSettings, JobViolation, TargetMood,
+    JobFault, JobFaultPlan, JobSystem, JobSystemSettings, JobViolation, TargetBehaviour,
 };
 
 const ENTRIES: usize = 3;
@@ -19,17 +19,21 @@
         sides: SIDES,
         cpu_millis: 16_000,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     })
 }
 
 /// Jobs of tasks that run for longer than their callers wait: each is answered with 504 and comes again somewhere.
-fn play(mood: TargetMood, seed: u64) -> JobSystem {
+fn play(mood: TargetBehaviour, seed: u64) -> JobSystem {
     let mut system = system(seed);
     for side in 0..SIDES {
         let time = millis(8_000);
-        let fault = JobFault::Mood { side, mood, time };
+        let fault = JobFault::Misbehave {
+            side,
+            behaviour: mood,
+            time,
+        };
         let at = millis(500);
         system.plan(JobFaultPlan { at, fault });
     }
@@ -43,14 +47,14 @@
 
 fn ran_twice(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanTwice { .. }));
+    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
     twice.count()
 }
 
 #[test]
 fn a_copy_does_not_run_beside_a_run_whose_stop_is_not_answered() {
     let counts: Vec<usize> = (0..10)
-        .map(|seed| ran_twice(&play(TargetMood::StopsLate(1), seed)))
+        .map(|seed| ran_twice(&play(TargetBehaviour::StopsLate(1), seed)))
         .collect();
     assert_eq!(counts, [0; 10], "tasks that ran twice at once, by seed");
 }
@@ -58,10 +62,10 @@
 #[test]
 fn stops_of_which_some_are_answered_late_stop_in_time() {
     let moods = [
-        TargetMood::Sound,
-        TargetMood::StopsLate(2),
-        TargetMood::AppliesLate(3),
-        TargetMood::LosesAnswers(2),
+        TargetBehaviour::Healthy,
+        TargetBehaviour::StopsLate(2),
+        TargetBehaviour::AppliesLate(3),
+        TargetBehaviour::LosesAnswers(2),
     ];
     for mood in moods {
         for seed in 0..10 {
--- a/crates/mastknot_virtual/tests/unequal_speeds.rs
+++ b/crates/mastknot_virtual/tests/unequal_speeds.rs
@@ -50,7 +50,7 @@
         sides: SIDES,
         cpu_millis: TARGET_CPU,
         entry_link: None,
-        usual_links: None,
+        active_links: None,
         seed,
     });
     system.set_speeds(speeds);
@@ -67,7 +67,7 @@
             let entry = rng.random_range(0..ENTRIES);
             let queue = format!("kind-{kind}");
             let id = system.submit_to(&queue, Duration::from_millis(at), entry, tasks, work);
-            system.set_guess(id, work.mul_f64(off_by(&mut rng, GUESS_OFF)));
+            system.set_estimate(id, work.mul_f64(off_by(&mut rng, GUESS_OFF)));
             if at >= SETTLED_MS {
                 let objective = work.mul_f64(1.6) + Duration::from_millis(60);
                 jobs.push(Job {
