--- a/crates/mastknot_side/src/actor/links.rs
+++ b/crates/mastknot_side/src/actor/links.rs
@@ -1,4 +1,4 @@
-//! Dialing entries, again and again.
+//! Links of a side to entries: dialing, redialing and serving.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,17 +13,20 @@
 
 use super::{Finished, Inputs, LinkUp, SideActor};
 
-/// The longest that dialing may take.
-const DIAL_LIMIT: Duration = Duration::from_secs(2);
-/// The first pause between two dials.
+/// Maximum time of one attempt to connect to an entry.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
+/// First pause between two attempts, before jitter.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between two dials.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+/// Maximum pause between two attempts, before jitter.
+const MAX_PAUSE: Duration = Duration::from_secs(3);
 
+/// Identifier of the next link of this process.
 static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
 
-/// Keeps a link to an entry as long as the actor lives. Pauses grow and are jittered, so that
-/// the sides of a hall do not come back all at once.
+/// Keeps a link to the entry at `address` as long as the actor runs.
+///
+/// The pauses between attempts double and have jitter, so that the sides of a hall do not reconnect
+/// all at once.
 pub(crate) async fn keep_dialing(
     actor: ActorRef<SideActor>,
     address: SocketAddr,
@@ -31,7 +34,7 @@
 ) {
     let mut pause = FIRST_PAUSE;
     while actor.is_alive() {
-        let dialed = connect(address, LinkKind::Side, DIAL_LIMIT, Arc::clone(&stats)).await;
+        let dialed = connect(address, LinkKind::Side, DIAL_TIMEOUT, Arc::clone(&stats)).await;
         let ended = match dialed {
             Ok(link) => {
                 pause = FIRST_PAUSE;
@@ -40,14 +43,15 @@
             Err(error) => Err(error),
         };
         if let Err(error) = ended {
-            debug!(entry:% = address; "link ended: {error}");
+            debug!(entry:% = address; "link to an entry ended: {error}");
         }
         let jittered = pause.mul_f64(rand::rng().random_range(0.5..1.5));
         tokio::time::sleep(jittered).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_PAUSE);
     }
 }
 
+/// Passes the messages of one open link to the actor until the link closes.
 async fn serve(
     actor: &ActorRef<SideActor>,
     mut link: Link<SideMessage, EntryMessage>,
--- a/crates/mastknot_side/src/actor/mod.rs
+++ b/crates/mastknot_side/src/actor/mod.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the side's core.
+//! Actor that owns the core of a side, with its links to entries.
 
 mod links;
 mod side_actor;
--- a/crates/mastknot_side/src/actor/side_actor.rs
+++ b/crates/mastknot_side/src/actor/side_actor.rs
@@ -18,19 +18,20 @@
 use super::links::keep_dialing;
 use crate::target::TargetClient;
 
-/// A link to an entry as the actor holds it.
+/// An open link to an entry.
 struct EntryLink {
     id: u64,
     sender: LinkSender<SideMessage>,
 }
 
-/// A service's path, and the configuration version it was read at.
+/// HTTP path of a service with the configuration version from which the path was read; `None` if that
+/// version does not define the service.
 struct KnownPath {
     version: u64,
     path: Option<Arc<str>>,
 }
 
-/// What the actor is made of.
+/// Parts from which the actor is started.
 pub(crate) struct SideParts {
     pub(crate) core: SideCore,
     pub(crate) clock: Clock,
@@ -40,14 +41,15 @@
     pub(crate) entries: Vec<SocketAddr>,
 }
 
-/// Owns the core of a side and carries out its effects.
+/// Actor that owns the core of a side and carries out the core's effects.
 pub(crate) struct SideActor {
     parts: SideParts,
     me: ActorRef<SideActor>,
     ticker: Ticker,
     links: HashMap<NodeName, EntryLink>,
     dialed: HashSet<SocketAddr>,
-    /// Dialing ends with the actor: a set ends its tasks when it is dropped.
+    /// Tasks that dial entries. They end with the actor, because a `JoinSet` aborts its tasks when it is
+    /// dropped.
     dialing: JoinSet<()>,
     tasks: HashMap<TaskId, JoinHandle<()>>,
     paths: HashMap<NodeName, KnownPath>,
@@ -89,39 +91,39 @@
     }
 }
 
-/// One event for the core.
+/// Message with one event for the core.
 pub(crate) struct Input(pub(crate) SideEvent);
 
-/// Messages of one entry that arrived together.
+/// Message with the messages of one entry that arrived together.
 pub(crate) struct Inputs {
     pub(crate) entry: NodeName,
     pub(crate) messages: Vec<EntryMessage>,
 }
 
-/// A link to an entry stands.
+/// Message that a link to an entry is open.
 pub(crate) struct LinkUp {
     pub(crate) entry: NodeName,
     pub(crate) id: u64,
     pub(crate) sender: LinkSender<SideMessage>,
 }
 
-/// A link to an entry broke, or a task ended.
+/// Message that a link to an entry has closed or a task has ended.
 pub(crate) enum Finished {
     Link { entry: NodeName, id: u64 },
     Task { task: TaskId, outcome: TaskOutcome },
 }
 
-/// Asks for what operators may read.
+/// Request for the side's [`Report`].
 pub(crate) struct GetReport;
 
-/// What operators may read of a side.
+/// Figures of a side that operators read.
 #[derive(Clone, Debug, kameo::Reply, serde::Serialize)]
 pub(crate) struct Report {
     pub(crate) side: NodeName,
     pub(crate) config_version: u64,
     pub(crate) running: usize,
     pub(crate) is_draining: bool,
-    /// Whether operators have drained its hall.
+    /// Whether operators have drained the side's hall.
     pub(crate) is_hall_drained: bool,
     pub(crate) entries: usize,
     pub(crate) counters: SideCounters,
@@ -141,7 +143,7 @@
     async fn handle(&mut self, inputs: Inputs, _: &mut Context<Self, Self::Reply>) {
         for message in inputs.messages {
             if let EntryMessage::Welcome { entries, .. } = &message {
-                self.learn_entries(entries);
+                self.dial_entries(entries);
             }
             let entry = inputs.entry.clone();
             self.step(SideEvent::FromEntry { entry, message });
@@ -153,7 +155,7 @@
     type Reply = ();
 
     async fn handle(&mut self, up: LinkUp, _: &mut Context<Self, Self::Reply>) {
-        info!(entry = up.entry.as_str(); "joined entry");
+        info!(entry = up.entry.as_str(); "link to an entry is open");
         let entry = up.entry.clone();
         let link = EntryLink {
             id: up.id,
@@ -172,7 +174,7 @@
             Finished::Link { entry, id } => {
                 let is_current = self.links.get(&entry).is_some_and(|link| link.id == id);
                 if is_current {
-                    info!(entry = entry.as_str(); "lost entry");
+                    info!(entry = entry.as_str(); "link to an entry is lost");
                     self.links.remove(&entry);
                     self.step(SideEvent::EntryLeft { entry });
                 }
@@ -200,6 +202,7 @@
 }
 
 impl SideActor {
+    /// Passes an event to the core, carries out the effects and sets the next tick.
     fn step(&mut self, event: SideEvent) {
         let now = self.parts.clock.monotonic();
         let effects = self.parts.core.step(now, event);
@@ -219,7 +222,7 @@
                 if let Some(link) = self.links.get(&entry)
                     && let Err(error) = link.sender.send(message)
                 {
-                    debug!(entry = entry.as_str(); "message not sent: {error}");
+                    debug!(entry = entry.as_str(); "message to an entry not sent: {error}");
                 }
             }
             SideEffect::Run(order) => self.run(order),
@@ -248,12 +251,14 @@
         self.tasks.insert(task, running);
     }
 
+    /// Reports the end of a task to the core once; a second end of the same task is ignored.
     fn task_ended(&mut self, task: TaskId, outcome: TaskOutcome) {
         if self.tasks.remove(&task).is_some() {
             self.step(SideEvent::TaskEnded { task, outcome });
         }
     }
 
+    /// Returns the HTTP path of a service, which is read again when the configuration version changes.
     fn path(&mut self, service: &NodeName) -> Option<Arc<str>> {
         let config = self.parts.core.config();
         let version = config.version();
@@ -273,7 +278,8 @@
         path
     }
 
-    fn learn_entries(&mut self, entries: &[String]) {
+    /// Dials the listed entries that are not dialed yet.
+    fn dial_entries(&mut self, entries: &[String]) {
         for entry in entries {
             if let Ok(address) = entry.parse() {
                 self.dial(address);
--- a/crates/mastknot_side/src/agent/agent_actor.rs
+++ b/crates/mastknot_side/src/agent/agent_actor.rs
@@ -24,7 +24,7 @@
 use super::agent_metrics::AgentMetrics;
 use super::{ProbeCall, StartCall, StopCall, TargetPort};
 
-/// What the actor is made of.
+/// Parts from which the actor is started.
 pub(super) struct AgentActorParts<P> {
     pub(super) core: TargetAgent,
     pub(super) clock: Clock,
@@ -35,19 +35,20 @@
     pub(super) profiles: watch::Sender<Option<TargetProfile>>,
 }
 
-/// A link as the actor holds it; dropping it closes the link.
+/// An open link to an entry; dropping the value closes the link.
 struct OpenLink {
     sender: LinkSender<SideReport>,
     _closed: oneshot::Sender<()>,
 }
 
-/// A task that keeps a link to an entry.
+/// A task that dials an entry and serves its link.
 struct Dialing {
     task: JoinHandle<()>,
+    /// Whether the entry is still known; the task stops dialing once this is false.
     is_known: watch::Sender<bool>,
 }
 
-/// Owns the core of a side and carries out its effects.
+/// Actor that owns the core of a side and carries out the core's effects.
 pub(super) struct AgentActor<P: TargetPort> {
     parts: AgentActorParts<P>,
     me: ActorRef<Self>,
@@ -57,53 +58,53 @@
     metrics: AgentMetrics,
 }
 
-/// One event for the core.
+/// Message with one event for the core.
 pub(super) struct AgentInput(pub(super) AgentEvent);
 
-/// A link stands.
+/// Message that a link to an entry is open.
 pub(super) struct AgentLinkUp {
     pub(super) session: SessionId,
     pub(super) sender: LinkSender<SideReport>,
     pub(super) closed: oneshot::Sender<()>,
 }
 
-/// Orders that arrived together.
+/// Message with orders of an entry that arrived together.
 pub(super) struct AgentOrders {
     pub(super) session: SessionId,
     pub(super) orders: Vec<EntryOrder>,
 }
 
-/// A link is gone.
+/// Message that a link has closed.
 pub(super) struct AgentLinkDown {
     pub(super) session: SessionId,
 }
 
-/// Asks for all figures as text.
+/// Request for all metrics in the Prometheus text format.
 pub(super) struct GetAgentMetrics;
 
-/// Asks for what operators may read.
+/// Request for the side's [`AgentReport`].
 pub(super) struct GetAgentReport;
 
-/// What operators may read of a side.
+/// Figures of a side that operators read.
 #[derive(Clone, Debug, kameo::Reply, serde::Serialize)]
 pub struct AgentReport {
-    /// Runs that take room.
+    /// Number of runs that take capacity.
     pub runs: usize,
-    /// Free processor, in thousandths of a core.
+    /// Free processor capacity, in thousandths of a core.
     pub free_cpu_millis: u32,
-    /// All processor, in thousandths of a core.
+    /// Total processor capacity of the target, in thousandths of a core.
     pub capacity_cpu_millis: u32,
-    /// Whether the target takes work: 1 if it does.
+    /// 1 if the target accepts work, 0 otherwise.
     pub is_ready: u32,
-    /// Whether operators have drained its hall: 1 if they have.
+    /// 1 if operators have drained the side's hall, 0 otherwise.
     pub is_hall_drained: u32,
-    /// The revision of the weights of halls, 0 for none.
+    /// Revision of the weights of halls; 0 if there are none.
     pub share_revision: u64,
-    /// Links to entries.
+    /// Number of links to entries.
     pub links: usize,
-    /// Jobs that entries have claimed here.
+    /// Number of jobs that entries have claimed at this side.
     pub claimed_jobs: usize,
-    /// How long entries took to confirm reports.
+    /// Times that entries took to confirm reports.
     pub confirm_times: ConfirmTimes,
 }
 
@@ -204,7 +205,7 @@
     type Reply = String;
 
     async fn handle(&mut self, _: GetAgentMetrics, _: &mut Context<Self, Self::Reply>) -> String {
-        self.metrics.note_halls(self.parts.core.hall_totals());
+        self.metrics.record_halls(self.parts.core.hall_totals());
         counters_text(&self.report()) + &self.metrics.text()
     }
 }
@@ -229,6 +230,7 @@
         }
     }
 
+    /// Passes an event to the core, carries out the effects and sets the next tick.
     fn step(&mut self, event: AgentEvent) {
         let now = self.parts.clock.monotonic();
         let effects = self.parts.core.step(now, event);
@@ -250,23 +252,23 @@
                 hold_until_ms,
                 token,
                 target,
-                timeout: limit,
-            } => self.order(StartCall {
+                timeout,
+            } => self.start_run(StartCall {
                 run,
                 payload,
                 hold_until_ms,
                 token,
                 target,
-                timeout: limit,
+                timeout,
             }),
             AgentEffect::StopRun {
                 run,
                 token,
-                timeout: limit,
-            } => self.stop(StopCall {
+                timeout,
+            } => self.stop_run(StopCall {
                 run,
                 token,
-                timeout: limit,
+                timeout,
             }),
             AgentEffect::Probe {
                 number,
@@ -275,8 +277,8 @@
                 last_seen,
                 wait,
                 target,
-                timeout: limit,
-            } => self.look(
+                timeout,
+            } => self.probe(
                 number,
                 ProbeCall {
                     hold_until_ms,
@@ -284,7 +286,7 @@
                     last_seen,
                     wait,
                     target,
-                    timeout: limit,
+                    timeout,
                 },
             ),
             AgentEffect::DialEntries(entries) => self.dial_all(&entries),
@@ -292,7 +294,7 @@
                 self.parts.profiles.send_replace(Some(profile));
             }
             AgentEffect::Decided(decision) => {
-                self.metrics.note(&decision);
+                self.metrics.record(&decision);
                 log_decision(&decision);
             }
             AgentEffect::Drained => {
@@ -306,12 +308,12 @@
             return;
         };
         if let Err(error) = link.sender.send(report) {
-            debug!(session = session.0; "report not sent: {error}");
+            debug!(session = session.0; "report to an entry not sent: {error}");
             self.links.remove(&session);
         }
     }
 
-    fn order(&self, call: StartCall) {
+    fn start_run(&self, call: StartCall) {
         let port = self.parts.port.clone();
         let me = self.me.clone();
         tokio::spawn(async move {
@@ -322,7 +324,7 @@
         });
     }
 
-    fn stop(&self, call: StopCall) {
+    fn stop_run(&self, call: StopCall) {
         let port = self.parts.port.clone();
         let me = self.me.clone();
         tokio::spawn(async move {
@@ -336,7 +338,7 @@
         });
     }
 
-    fn look(&self, number: u64, call: ProbeCall) {
+    fn probe(&self, number: u64, call: ProbeCall) {
         let port = self.parts.port.clone();
         let me = self.me.clone();
         tokio::spawn(async move {
@@ -346,8 +348,9 @@
         });
     }
 
-    /// Dials the known entries; those that are known no more are dialed no more. The addresses
-    /// from the settings stay as long as they are all there is.
+    /// Dials the known entries and stops dialing entries that are no longer known.
+    ///
+    /// The addresses of the settings are dialed until the first entries are known.
     fn dial_all(&mut self, entries: &[KnownEntry]) {
         let known: BTreeSet<SocketAddr> = entries.iter().map(|entry| entry.address).collect();
         for (address, dialing) in &self.dialing {
@@ -360,11 +363,12 @@
             self.dial(entry.address, Duration::ZERO);
         }
         for entry in order.later {
-            let share = rand::rng().random_range(0.0..1.0);
-            self.dial(entry.address, DialOrder::pause(share));
+            let fraction = rand::rng().random_range(0.0..1.0);
+            self.dial(entry.address, DialOrder::pause(fraction));
         }
     }
 
+    /// Starts the task that keeps a link to an entry, unless the task exists.
     fn dial(&mut self, address: SocketAddr, first_pause: Duration) {
         if self.dialing.contains_key(&address) {
             return;
--- a/crates/mastknot_side/src/agent/agent_dialing.rs
+++ b/crates/mastknot_side/src/agent/agent_dialing.rs
@@ -1,4 +1,4 @@
-//! Dialing entries for as long as they are known.
+//! Links of a side to entries: dialing, redialing and serving.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,13 +18,18 @@
 use super::TargetPort;
 use super::agent_actor::{AgentActor, AgentLinkDown, AgentLinkUp, AgentOrders};
 
-/// The longest that dialing may take: a machine without power says nothing, and the operating system
-/// would ask again only after a second.
-const DIAL_LIMIT: Duration = Duration::from_millis(250);
+/// Maximum time of one attempt to connect to an entry.
+///
+/// A machine without power does not answer, and the operating system would repeat its connection
+/// request only after a second.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Identifier of the next link of this process.
 static NEXT_SESSION: AtomicU64 = AtomicU64::new(1);
 
-/// Keeps a link to an entry for as long as it is known, first dialed after a pause; a link that stands is
-/// kept until it ends.
+/// Keeps a link to the entry at `address` for as long as the actor runs and `is_known` holds true.
+///
+/// The entry is first dialed after `first_pause`. An open link is served until it closes, even if the
+/// entry is no longer known.
 pub(super) async fn keep_dialing<P: TargetPort>(
     actor: ActorRef<AgentActor<P>>,
     clock: Clock,
@@ -38,26 +43,27 @@
     }
     let mut backoff = DialBackoff::default();
     while actor.is_alive() && *is_known.borrow() {
-        let dialed = connect(address, LinkKind::Agent, DIAL_LIMIT, Arc::clone(&stats)).await;
+        let dialed = connect(address, LinkKind::Agent, DIAL_TIMEOUT, Arc::clone(&stats)).await;
         let jitter = rand::rng().random_range(0.5..1.5);
         let (ended, pause) = match dialed {
             Ok(link) => {
-                let begun = clock.monotonic();
+                let opened_at = clock.monotonic();
                 let ended = serve(&actor, link).await;
                 (
                     ended,
-                    backoff.after_link(clock.monotonic().since(begun), jitter),
+                    backoff.after_link(clock.monotonic().since(opened_at), jitter),
                 )
             }
             Err(error) => (Err(error), backoff.after_failure(jitter)),
         };
         if let Err(error) = ended {
-            debug!(entry:% = address; "link ended: {error}");
+            debug!(entry:% = address; "link to an entry ended: {error}");
         }
         sleep(pause).await;
     }
 }
 
+/// Passes the orders of one open link to the actor until the link closes.
 async fn serve<P: TargetPort>(
     actor: &ActorRef<AgentActor<P>>,
     mut link: Link<SideReport, EntryOrder>,
@@ -70,11 +76,11 @@
         closed,
     };
     let _ = actor.tell(up).await;
-    let take = |orders| async move {
-        let told = actor.tell(AgentOrders { session, orders }).await;
-        told.is_ok()
+    let deliver = |orders| async move {
+        let delivered = actor.tell(AgentOrders { session, orders }).await;
+        delivered.is_ok()
     };
-    let result = link.receiver.forward(close, take).await;
+    let result = link.receiver.forward(close, deliver).await;
     let _ = actor.tell(AgentLinkDown { session }).await;
     result
 }
--- a/crates/mastknot_side/src/agent/agent_logs.rs
+++ b/crates/mastknot_side/src/agent/agent_logs.rs
@@ -1,14 +1,16 @@
-//! One log line for each decision of a side.
+//! Log lines of a side's decisions.
 
 use log::{debug, info, warn};
 use mastknot_core::agent::AgentDecision;
 use mastknot_core::job::{CrashedRun, EndOfRun, TargetCrash, TargetId};
 
-/// The target of decision lines, by which they can be filtered.
+/// Log target of the decision lines, by which they can be filtered.
 const DECISION: &str = "decision";
-/// The most runs that one line names: the youngest tell what may have brought a crash about.
+/// Maximum number of runs that one line names. The youngest runs are named, because they are the
+/// likely causes of a crash.
 const MAX_NAMED: usize = 8;
 
+/// Writes the log line of a decision; some frequent decisions are not logged or only at debug level.
 pub(super) fn log_decision(decision: &AgentDecision) {
     match decision {
         AgentDecision::TurnedAway {
@@ -44,7 +46,8 @@
             info!(target: DECISION, early_claims; "claims_taken")
         }
         AgentDecision::EntryJoined { entry } => info!(target: DECISION, entry:%; "entry_joined"),
-        // Many a second in crowded times; the entry's `task_placed` says what came of each.
+        // Offers, grants and queued starts occur many times a second under contention, so they are
+        // logged at debug level. The entry's `task_placed` line reports the start that follows.
         AgentDecision::Offered {
             entry,
             hall,
@@ -100,20 +103,24 @@
     }
 }
 
-/// A stop that stays unanswered is told when it has been sent once, twice, four times and so on; all are counted.
+/// Logs an unanswered stop if the number of times that it was sent is a power of two, which bounds the
+/// number of lines. The metrics count every one.
 fn log_unanswered_stop(run: &mastknot_core::job::RunId, times: u32, since_ms: u64) {
     if times.is_power_of_two() {
         warn!(target: DECISION, run:%, times, since_ms; "stop_unanswered");
     }
 }
 
-/// Runs that did their work are the bulk and are told by the entry's answer.
+/// Logs the end of a run that did not succeed.
+///
+/// Successful runs are by far the most; the entry's line of the job's answer covers them.
 fn log_end(run: &mastknot_core::job::RunId, end: EndOfRun, ran_ms: u32) {
     if end != EndOfRun::Done {
         info!(target: DECISION, run:%, end:?, ran_ms; "run_ended");
     }
 }
 
+/// Logs a crash of the target with its youngest runs.
 fn log_crash(crash: &TargetCrash) {
     let was_silent = crash.was_silent;
     let target_id = &crash.target;
--- a/crates/mastknot_side/src/agent/agent_metrics.rs
+++ b/crates/mastknot_side/src/agent/agent_metrics.rs
@@ -29,16 +29,16 @@
 
 type HallSeconds = Family<HallLabels, Gauge<f64, AtomicU64>>;
 
-/// A second of the whole target, in its thousandths times milliseconds.
-const TARGET_SECOND: f64 = 1e6;
+/// Work of the whole target in one second, in thousandths of the target times milliseconds.
+const WORK_PER_TARGET_SECOND: f64 = 1e6;
 
-/// Ends, latencies and what a side has decided besides.
+/// Prometheus metrics of a side: run times by end of run, decisions by kind, and work by hall.
 pub(super) struct AgentMetrics {
     registry: Registry,
     run_seconds: Family<EndLabels, Histogram>,
     events: Family<EventLabels, Counter>,
     hall_due: HallSeconds,
-    hall_had: HallSeconds,
+    hall_obtained: HallSeconds,
 }
 
 impl AgentMetrics {
@@ -48,55 +48,63 @@
         let events = Family::<EventLabels, Counter>::default();
         registry.register(
             "mastknot_run_seconds",
-            "From the order to the known end of a run, by end",
+            "Time from the start order to the reported end of a run, by end",
             run_seconds.clone(),
         );
-        registry.register("mastknot_side_events", "Decisions by kind", events.clone());
+        registry.register(
+            "mastknot_side_events",
+            "Number of decisions, by kind",
+            events.clone(),
+        );
         let hall_due = HallSeconds::default();
-        let hall_had = HallSeconds::default();
+        let hall_obtained = HallSeconds::default();
         registry.register(
             "mastknot_hall_due_seconds",
-            "What a hall was due by weight while it waited, in seconds of the whole target",
+            "Work that a hall was entitled to by its weight while it waited, in seconds of the whole target",
             hall_due.clone(),
         );
         registry.register(
             "mastknot_hall_had_seconds",
-            "What was started for a hall while any waited, in seconds of the whole target",
-            hall_had.clone(),
+            "Work that was started for a hall while any hall waited, in seconds of the whole target",
+            hall_obtained.clone(),
         );
         Self {
             registry,
             run_seconds,
             events,
             hall_due,
-            hall_had,
+            hall_obtained,
         }
     }
 
-    pub(super) fn note(&self, decision: &AgentDecision) {
+    /// Counts a decision and, if a run ended, observes its run time.
+    pub(super) fn record(&self, decision: &AgentDecision) {
         if let AgentDecision::RunEnded { end, ran_ms, .. } = decision {
             let labels = EndLabels {
                 end: end_name(*end),
             };
-            let ran = Duration::from_millis(u64::from(*ran_ms)).as_secs_f64();
-            self.run_seconds.get_or_create(&labels).observe(ran);
+            let run_time = Duration::from_millis(u64::from(*ran_ms)).as_secs_f64();
+            self.run_seconds.get_or_create(&labels).observe(run_time);
         }
         let event = event_name(decision);
         self.events.get_or_create(&EventLabels { event }).inc();
     }
 
-    /// What halls were due and had since the start.
-    pub(super) fn note_halls<'a>(&self, halls: impl Iterator<Item = (&'a Hall, &'a HallTotal)>) {
+    /// Sets the work that each hall was entitled to and obtained since the side started.
+    pub(super) fn record_halls<'a>(&self, halls: impl Iterator<Item = (&'a Hall, &'a HallTotal)>) {
         for (hall, total) in halls {
             let labels = HallLabels {
                 hall: hall.to_string(),
             };
-            let seconds = |work: u64| work as f64 / TARGET_SECOND;
+            let seconds = |work: u64| work as f64 / WORK_PER_TARGET_SECOND;
             self.hall_due.get_or_create(&labels).set(seconds(total.due));
-            self.hall_had.get_or_create(&labels).set(seconds(total.had));
+            self.hall_obtained
+                .get_or_create(&labels)
+                .set(seconds(total.had));
         }
     }
 
+    /// Returns the metrics in the Prometheus text format.
     pub(super) fn text(&self) -> String {
         registry_text(&self.registry)
     }
--- a/crates/mastknot_side/src/agent/agent_node.rs
+++ b/crates/mastknot_side/src/agent/agent_node.rs
@@ -14,19 +14,19 @@
     AgentActor, AgentActorParts, AgentInput, AgentReport, GetAgentMetrics, GetAgentReport,
 };
 
-/// What an [`AgentNode`] is made of.
+/// Parts from which an [`AgentNode`] is started.
 pub struct AgentParts<P> {
-    /// How its core is set up.
+    /// Settings of the agent's core.
     pub settings: AgentSettings,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// How it speaks to its target.
+    /// Adapter by which the side calls its target.
     pub port: P,
-    /// The entries that are dialed first.
+    /// Addresses of the entries that are dialed at the start.
     pub first_entries: Vec<SocketAddr>,
 }
 
-/// A running side that runs sized tasks under leases.
+/// A running side that runs tasks of known size on its target, under the leases of entries.
 pub struct AgentNode<P: TargetPort> {
     actor: ActorRef<AgentActor<P>>,
     stats: Arc<LinkStats>,
@@ -46,7 +46,7 @@
 }
 
 impl<P: TargetPort> AgentNode<P> {
-    /// Starts it.
+    /// Starts the side's actor and dials the first entries.
     pub fn start(parts: AgentParts<P>) -> Self {
         let stats: Arc<LinkStats> = Arc::default();
         tokio::spawn(log_link_traffic(Arc::clone(&stats)));
@@ -70,24 +70,26 @@
         }
     }
 
-    /// The target reported itself; returns when that is taken in.
+    /// Passes a report of the target about itself to the agent; returns when the agent has
+    /// processed the report.
     pub async fn target_reported(&self, report: TargetReport) {
         let event = AgentEvent::TargetReported(report);
         let _ = self.actor.ask(AgentInput(event)).await;
     }
 
-    /// The store remembers what the target once said of itself.
+    /// Passes the profile that the store holds of the target to the agent.
     pub async fn target_remembered(&self, profile: TargetProfile) {
         let event = AgentEvent::TargetRemembered(profile);
         let _ = self.actor.tell(AgentInput(event)).await;
     }
 
-    /// What the target says of itself, each time another life of it reports.
+    /// Returns a receiver of the target's profile, which changes each time another incarnation of the
+    /// target reports.
     pub fn profiles(&self) -> watch::Receiver<Option<TargetProfile>> {
         self.profiles.clone()
     }
 
-    /// The target has left by plan.
+    /// Informs the agent that the target has left as planned.
     pub async fn target_left(&self, target: TargetId) {
         let _ = self
             .actor
@@ -95,7 +97,7 @@
             .await;
     }
 
-    /// Entries were found outside of any link.
+    /// Passes entries to the agent that were found without a link, for example in the store.
     pub async fn learn_entries(&self, entries: Vec<KnownEntry>) {
         let _ = self
             .actor
@@ -103,27 +105,28 @@
             .await;
     }
 
-    /// What operators may read.
+    /// Returns the figures of the side that operators read; `None` if the side has stopped.
     pub async fn report(&self) -> Option<AgentReport> {
         self.actor.ask(GetAgentReport).await.ok()
     }
 
-    /// All figures in Prometheus' text form.
+    /// Returns all metrics in the Prometheus text format; `None` if the side has stopped.
     pub async fn metrics_text(&self) -> Option<String> {
         let own = self.actor.ask(GetAgentMetrics).await.ok()?;
         Some(self.stats.text() + &own)
     }
 
-    /// What went over its links.
+    /// Returns the traffic counters of the side's links.
     pub fn stats(&self) -> &LinkStats {
         &self.stats
     }
 
-    /// Takes nothing new and waits until nothing runs, at most for `limit`.
-    pub async fn drain(&self, limit: Duration) -> bool {
+    /// Refuses new runs and waits until no run is left, at most for `timeout`; returns whether the
+    /// side was drained in time.
+    pub async fn drain(&self, timeout: Duration) -> bool {
         let _ = self.actor.ask(AgentInput(AgentEvent::Stop)).await;
         let mut drained = self.drained.clone();
-        let waited = tokio::time::timeout(limit, drained.wait_for(|is_drained| *is_drained));
+        let waited = tokio::time::timeout(timeout, drained.wait_for(|is_drained| *is_drained));
         waited.await.is_ok()
     }
 }
--- a/crates/mastknot_side/src/agent/finding.rs
+++ b/crates/mastknot_side/src/agent/finding.rs
@@ -1,4 +1,4 @@
-//! Finding entries in the store when no link stands.
+//! Discovery of entries in the store while the side has no link.
 
 use std::time::Duration;
 
@@ -9,28 +9,31 @@
 
 use super::{AgentNode, TargetPort};
 
-/// Until the first look at the own links; a process that has just started knows no entry for sure.
+/// Time from the start to the first check of the side's links. The time is short, because a process
+/// that has just started may know no entry that is up.
 const FIRST_CHECK: Duration = Duration::from_millis(60);
-/// Between two looks at the own links.
+/// Time between two checks of the side's links.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Where entries are listed, and how their list is read.
+/// Directory of entries in the store, and the functions that read the directory.
 #[derive(Clone, Debug)]
 pub struct EntryLookup<S, V> {
-    /// The store.
+    /// Store that holds the directory.
     pub store: S,
-    /// All entries' keys begin so.
+    /// Prefix of the keys of all entries.
     pub prefix: String,
-    /// Reads a value.
+    /// Decodes the value of one entry; returns `None` if the value is malformed.
     pub read: fn(&[u8]) -> Option<V>,
-    /// Makes entries of the list.
+    /// Converts the directory into known entries.
     pub entries_of: fn(&Directory<V>) -> Vec<KnownEntry>,
 }
 
-/// Reads the list of entries while no link stands; entries that are linked tell of the others.
+/// Reads the directory of entries while the side has no link and passes the entries to the agent.
+///
+/// A side with a link learns the other entries from the linked entry.
 pub async fn find_entries<P: TargetPort, S: SharedStore, V>(
     node: AgentNode<P>,
-    places: EntryLookup<S, V>,
+    lookup: EntryLookup<S, V>,
 ) {
     let mut pause = FIRST_CHECK;
     loop {
@@ -42,11 +45,11 @@
         if report.links > 0 {
             continue;
         }
-        let Ok(list) = places.store.list(&places.prefix).await else {
+        let Ok(list) = lookup.store.list(&lookup.prefix).await else {
             continue;
         };
-        let listed = read_directory(&places.prefix, &list.items, places.read);
-        let entries = (places.entries_of)(&listed);
+        let listed = read_directory(&lookup.prefix, &list.items, lookup.read);
+        let entries = (lookup.entries_of)(&listed);
         info!(entries = entries.len(); "entries read from the store");
         node.learn_entries(entries).await;
     }
--- a/crates/mastknot_side/src/agent/mod.rs
+++ b/crates/mastknot_side/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The shell of a side that runs sized tasks under leases: links, timers, calls to the target.
+//! Input and output of a side that runs tasks of known size under leases: links, timers, calls to the
+//! target.
 
 mod agent_actor;
 mod agent_dialing;
--- a/crates/mastknot_side/src/agent/target_memory.rs
+++ b/crates/mastknot_side/src/agent/target_memory.rs
@@ -1,4 +1,4 @@
-//! The store remembers what a side's target said of itself, for the next life of the side.
+//! Stored profile of a side's target, which the next incarnation of the side reads.
 
 use std::time::Duration;
 
@@ -11,21 +11,22 @@
 
 use super::{AgentNode, TargetPort};
 
-/// How long a profile is remembered after its last renewal.
-const REMEMBERED_FOR: Duration = Duration::from_secs(600);
-/// Between two renewals.
-const RENEWAL: Duration = Duration::from_secs(180);
-/// After a failed call.
+/// Time that the store keeps a profile after the last renewal of its lease.
+const PROFILE_LIFETIME: Duration = Duration::from_secs(600);
+/// Time between two renewals of the lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(180);
+/// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Pauses double up to this one: a store that is down is asked by every side.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
-/// The bytes of a frame's length, which the store's value goes without.
+/// Maximum pause between two reads. Pauses double up to it, because every side calls a store that
+/// is down.
+const MAX_PAUSE: Duration = Duration::from_secs(8);
+/// Size of the length prefix of a frame, in bytes; the stored value omits the prefix.
 const LENGTH_BYTES: usize = 4;
 
-/// Tells the agent what the store remembers, then keeps the store's memory current.
+/// Passes the stored profile of the target to the agent, then keeps the stored profile current.
 ///
-/// After a loss of all processes no entry remembers the target, and its own next report may be
-/// seconds away. What the store remembers is used only with the target's life it was said by.
+/// After a loss of all processes no entry knows the target, and the target's next report may be
+/// seconds away. The stored profile is used only for the incarnation of the target that reported it.
 pub async fn remember_target<P: TargetPort, S: SharedStore>(
     node: AgentNode<P>,
     store: S,
@@ -34,15 +35,15 @@
 ) {
     let mut reported = profiles.clone();
     tokio::select! {
-        () = recall(&node, &store, &key) => {}
-        // The target itself has said what the store might remember.
+        () = restore_profile(&node, &store, &key) => {}
+        // A report of the target itself replaces the stored profile.
         _ = reported.wait_for(Option::is_some) => {}
     }
     let mut lease = None;
     loop {
         let known = profiles.borrow_and_update().clone();
         if let Some(profile) = known {
-            match write(&store, &key, &profile, &mut lease).await {
+            match write_profile(&store, &key, &profile, &mut lease).await {
                 Ok(()) => {}
                 Err(_) => {
                     sleep(RETRY_PAUSE).await;
@@ -56,35 +57,36 @@
                     return;
                 }
             }
-            () = sleep(RENEWAL) => renew(&store, &mut lease, &mut profiles).await,
+            () = sleep(RENEWAL_INTERVAL) => renew_lease(&store, &mut lease, &mut profiles).await,
         }
     }
 }
 
-/// Tells the agent what the store remembers; asks again as long as the store gives no answer.
-async fn recall<P: TargetPort, S: SharedStore>(node: &AgentNode<P>, store: &S, key: &str) {
+/// Passes the stored profile to the agent; repeats the read until the store answers.
+async fn restore_profile<P: TargetPort, S: SharedStore>(node: &AgentNode<P>, store: &S, key: &str) {
     let mut pause = RETRY_PAUSE;
     let item = loop {
         match store.read(key).await {
             Ok(item) => break item,
-            Err(error) => warn!(error:%; "remembered target not read, asked again"),
+            Err(error) => warn!(error:%; "stored target profile not read, retrying"),
         }
         sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_PAUSE);
     };
     let Some(value) = item.and_then(|item| item.value) else {
         return;
     };
     match decode_message::<TargetProfile>(&value) {
         Ok(profile) => {
-            info!(target_id:% = profile.id; "target remembered by the store");
+            info!(target_id:% = profile.id; "target profile read from the store");
             node.target_remembered(profile).await;
         }
-        Err(error) => warn!(error:%; "remembered target not understood"),
+        Err(error) => warn!(error:%; "stored target profile can't be decoded"),
     }
 }
 
-async fn write<S: SharedStore>(
+/// Writes the profile under the held lease, or under a new one.
+async fn write_profile<S: SharedStore>(
     store: &S,
     key: &str,
     profile: &TargetProfile,
@@ -92,12 +94,12 @@
 ) -> Result<(), SharedStoreError> {
     let mut frame = bytes::BytesMut::new();
     if let Err(error) = encode_frame(profile, &mut frame) {
-        warn!(error:%; "target not remembered");
+        warn!(error:%; "target profile can't be encoded and is not stored");
         return Ok(());
     }
     let held = match *lease {
         Some(held) => held,
-        None => store.grant(REMEMBERED_FOR).await?,
+        None => store.grant(PROFILE_LIFETIME).await?,
     };
     let written = store
         .write_leased(key, &frame[LENGTH_BYTES..], held, None)
@@ -110,7 +112,8 @@
     }
 }
 
-async fn renew<S: SharedStore>(
+/// Renews the lease; if the store no longer has the lease, marks the profile to be written again.
+async fn renew_lease<S: SharedStore>(
     store: &S,
     lease: &mut Option<SharedLease>,
     profiles: &mut watch::Receiver<Option<TargetProfile>>,
--- a/crates/mastknot_side/src/agent/target_port.rs
+++ b/crates/mastknot_side/src/agent/target_port.rs
@@ -5,60 +5,64 @@
 use mastknot_core::agent::{OrderOutcome, ProbeFailure, TargetView};
 use mastknot_core::job::{RunId, TargetId};
 
-/// An order to start a run.
+/// Request to the target to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartCall {
-    /// The run.
+    /// Run to start.
     pub run: RunId,
-    /// What the target is given.
+    /// Payload that the target receives.
     pub payload: Arc<str>,
-    /// The hold, on the target's clock in milliseconds.
+    /// Time until which the target holds the run without a renewal, on the target's clock in
+    /// milliseconds.
     pub hold_until_ms: u64,
-    /// The fencing token.
+    /// Fencing token of the side.
     pub token: u64,
-    /// The life of the target that is meant.
+    /// Incarnation of the target to which the request is addressed, if known.
     pub target: Option<TargetId>,
-    /// How long an answer may take.
+    /// Maximum time until the answer.
     pub timeout: Duration,
 }
 
-/// An order to stop a run.
+/// Request to the target to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopCall {
-    /// The run.
+    /// Run to stop.
     pub run: RunId,
-    /// The fencing token.
+    /// Fencing token of the side.
     pub token: u64,
-    /// How long an answer may take.
+    /// Maximum time until the answer.
     pub timeout: Duration,
 }
 
-/// A look at the target.
+/// Request for the runs of the target and their ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProbeCall {
-    /// The hold, on the target's clock in milliseconds, if it is to be renewed.
+    /// Time until which the target holds its runs without a further renewal, on the target's clock in
+    /// milliseconds; `None` if the probe does not renew the hold.
     pub hold_until_ms: Option<u64>,
-    /// The fencing token.
+    /// Fencing token of the side.
     pub token: u64,
-    /// The highest end that has been noted.
+    /// Highest number of an end of run that the side has recorded.
     pub last_seen: u64,
-    /// How long the answer may wait for an end.
+    /// Maximum time that the target may delay its answer until a run ends.
     pub wait: Duration,
-    /// The life of the target that is meant.
+    /// Incarnation of the target to which the request is addressed, if known.
     pub target: Option<TargetId>,
-    /// How long an answer may take, its own wait included.
+    /// Maximum time until the answer, `wait` included.
     pub timeout: Duration,
 }
 
-/// How a side speaks to its target; adapters implement it. Each call answers in bounded time.
+/// Calls of a side to its target, implemented by an adapter for each kind of target.
+///
+/// Each call returns within the timeout of its request.
 pub trait TargetPort: Clone + Send + Sync + 'static {
-    /// Orders a start.
+    /// Requests the start of a run and returns the target's answer.
     fn start(&self, call: StartCall) -> impl Future<Output = OrderOutcome> + Send;
 
-    /// Orders a stop; whether the target acknowledged it.
+    /// Requests the stop of a run; returns whether the target acknowledged the request.
     fn stop(&self, call: StopCall) -> impl Future<Output = bool> + Send;
 
-    /// Looks at what runs and what has ended.
+    /// Probes the target: returns its runs and the ends of runs that the side has not recorded.
     fn probe(
         &self,
         call: ProbeCall,
--- a/crates/mastknot_side/src/lib.rs
+++ b/crates/mastknot_side/src/lib.rs
@@ -1,4 +1,4 @@
-//! The side process: grants its target's slots and runs tasks on it over HTTP.
+//! Side process: grants the slots of its target to entries and runs tasks on the target over HTTP.
 //!
 //! This crate has no feature flags.
 
--- a/crates/mastknot_side/src/main.rs
+++ b/crates/mastknot_side/src/main.rs
@@ -1,4 +1,4 @@
-//! `mastknot-side`: one side process.
+//! Command line of `mastknot-side`, which runs one side process.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,9 +9,9 @@
 use mastknot_runtime::{Signals, load_settings, start_logs};
 use mastknot_side::{SideFile, SideNode, StopReport};
 
-/// The exit code after a stop that cut tasks.
-const EXIT_CUT: u8 = 3;
-/// The exit code for bad settings.
+/// Exit code after a stop that aborted tasks.
+const EXIT_ABORTED: u8 = 3;
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
         .help("Settings file (TOML); see examples/settings/side.toml")
         .argument::<PathBuf>("FILE");
     let check_settings = long("check-settings")
-        .help("Check the settings file and start nothing")
+        .help("Check the settings file and exit")
         .switch();
     construct!(Options {
         settings,
@@ -34,8 +34,8 @@
     })
     .to_options()
     .version(env!("CARGO_PKG_VERSION"))
-    .descr("Runs beside one target: grants its slots and starts tasks on it")
-    .footer("Exit codes: 0 stopped by plan, 1 did not start, 2 bad settings, 3 tasks were cut")
+    .descr("Runs beside one target: grants the target's slots to entries and starts tasks on the target")
+    .footer("Exit codes: 0 stopped as planned, 1 did not start, 2 invalid settings, 3 tasks were aborted")
 }
 
 async fn run(file: SideFile) -> Result<ExitCode, NodeError> {
@@ -47,23 +47,23 @@
     let side = SideNode::start(file).await?;
     info!(side = name.as_str(), metrics:% = side.metrics_address(); "started");
     signals.next().await;
-    info!(side = name.as_str(); "stopping: what runs will end, nothing new is granted");
+    info!(side = name.as_str(); "stopping: running tasks finish, no further credits are granted");
     let report = tokio::select! {
         report = side.stop() => Some(report),
         _ = signals.next() => None,
     };
     Ok(match report {
-        Some(StopReport { tasks_cut: 0 }) => {
-            info!(side = name.as_str(); "stopped; nothing was cut");
+        Some(StopReport { aborted_tasks: 0 }) => {
+            info!(side = name.as_str(); "stopped; no task was aborted");
             ExitCode::SUCCESS
         }
-        Some(StopReport { tasks_cut }) => {
-            error!(side = name.as_str(), tasks_cut; "stopped at the deadline; tasks were cut");
-            ExitCode::from(EXIT_CUT)
+        Some(StopReport { aborted_tasks }) => {
+            error!(side = name.as_str(), tasks_cut = aborted_tasks; "stopped at the deadline; tasks were aborted");
+            ExitCode::from(EXIT_ABORTED)
         }
         None => {
-            error!(side = name.as_str(); "ended by a second signal; tasks may have been cut");
-            ExitCode::from(EXIT_CUT)
+            error!(side = name.as_str(); "ended by a second signal; tasks may have been aborted");
+            ExitCode::from(EXIT_ABORTED)
         }
     })
 }
--- a/crates/mastknot_side/src/node/mod.rs
+++ b/crates/mastknot_side/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A side as a part of a process.
+//! A side that runs inside a process: its actor, metrics server and exporter.
 
 mod side_node;
 
--- a/crates/mastknot_side/src/node/side_node.rs
+++ b/crates/mastknot_side/src/node/side_node.rs
@@ -23,21 +23,21 @@
 use mastknot_runtime::NodeError;
 use mastknot_runtime::node_context::{ListenSnafu, StartSnafu};
 
-/// Messages that may wait for the actor.
-const MAILBOX: usize = 4_096;
-/// How often counters are sent.
+/// Maximum number of messages that wait in the actor's mailbox.
+const MAILBOX_CAPACITY: usize = 4_096;
+/// Time between two exports of the counters.
 const EXPORT_INTERVAL: Duration = Duration::from_secs(10);
-/// How long the last answers may take to leave the process.
+/// Time that the last answers get to leave the process before it ends.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// How a planned stop ended.
+/// Result of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopReport {
-    /// Tasks that still ran when the process had to end; zero if nothing was cut.
-    pub tasks_cut: usize,
+    /// Number of tasks that still ran at the stop deadline and were aborted; zero if all tasks ended in time.
+    pub aborted_tasks: usize,
 }
 
-/// A running side.
+/// A running side that runs whole tasks on the slots of its target.
 #[derive(Debug)]
 pub struct SideNode {
     actor: ActorRef<SideActor>,
@@ -48,7 +48,13 @@
 }
 
 impl SideNode {
-    /// Starts a side; its settings are checked before anything is bound.
+    /// Starts a side.
+    ///
+    /// The settings are checked before any address is bound.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a setting is invalid, an address can't be bound, or a part can't start.
     pub async fn start(file: SideFile) -> Result<Self, NodeError> {
         file.check()?;
         let target = mastknot_runtime::check_address("target", &file.target)?;
@@ -73,11 +79,15 @@
             drained: drained_sender,
             entries,
         };
-        let mailbox = kameo::mailbox::bounded(MAILBOX);
+        let mailbox = kameo::mailbox::bounded(MAILBOX_CAPACITY);
         let actor = SideActor::spawn_with_mailbox(parts, mailbox);
-        let served = (actor.clone(), Arc::clone(&stats));
+        let handler_parts = (actor.clone(), Arc::clone(&stats));
         let metrics = HttpServer::start(listener, move |request| {
-            answer(served.0.clone(), Arc::clone(&served.1), request)
+            answer(
+                handler_parts.0.clone(),
+                Arc::clone(&handler_parts.1),
+                request,
+            )
         });
         let metrics = metrics.context(StartSnafu { part: "metrics" })?;
         let exporter = start_exporter(&file, actor.clone(), stats)?;
@@ -90,36 +100,37 @@
         })
     }
 
-    /// The address at which counters are read.
+    /// Returns the address of the HTTP server that serves the counters.
     pub fn metrics_address(&self) -> SocketAddr {
         self.metrics.address()
     }
 
-    /// Begins a planned stop: nothing new is granted, what runs goes on.
+    /// Begins a planned stop: the side grants no further credits, and running tasks continue.
     pub async fn drain(&self) {
         let _ = self.actor.tell(Input(SideEvent::Drain)).await;
     }
 
-    /// Ends by plan: waits until nothing runs, at most as long as the settings allow.
+    /// Stops the side as planned: drains it, waits until no task runs, at most for the stop deadline
+    /// of the settings, and ends the actor and the servers.
     pub async fn stop(mut self) -> StopReport {
         self.drain().await;
         let drained = self.drained.wait_for(|is_drained| *is_drained);
         let in_time = tokio::time::timeout(self.stop_deadline, drained).await;
         let is_in_time = in_time.is_ok();
         drop(in_time);
-        let tasks_cut = if is_in_time { 0 } else { self.running().await };
+        let aborted_tasks = if is_in_time { 0 } else { self.running().await };
         tokio::time::sleep(FLUSH_TIME).await;
         self.abort().await;
-        StopReport { tasks_cut }
+        StopReport { aborted_tasks }
     }
 
-    /// Tasks that run now.
+    /// Returns the number of tasks that run now.
     pub async fn running(&self) -> usize {
         let report = self.actor.ask(GetReport).await;
         report.map_or(0, |report| report.running)
     }
 
-    /// Ends at once, as a crash would.
+    /// Ends the side at once, without a drain, as a crash would.
     pub async fn abort(self) {
         self.exporter.abort();
         self.metrics.abort();
--- a/crates/mastknot_side/src/settings/mod.rs
+++ b/crates/mastknot_side/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of `mastknot-side`.
+//! Settings file of `mastknot-side`.
 
 mod side_file;
 
--- a/crates/mastknot_side/src/settings/side_file.rs
+++ b/crates/mastknot_side/src/settings/side_file.rs
@@ -5,41 +5,41 @@
 use mastknot_runtime::{CheckSettings, LogSettings, SettingsError, check_address, check_range};
 use serde::Deserialize;
 
-/// The settings of one side, as its TOML file has them.
+/// Settings of one side, in the form of its TOML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SideFile {
-    /// The side's name, unique among sides.
+    /// Name of the side, unique among sides.
     pub name: String,
-    /// The hall it stands in.
+    /// Hall in which the side runs.
     pub hall: String,
-    /// The address of its target's HTTP server.
+    /// Address of the HTTP server of the side's target.
     pub target: String,
-    /// How many tasks the target runs at once.
+    /// Number of tasks that the target runs at once.
     pub slots: u16,
-    /// Addresses of entries, at least one; the others are learned from it.
+    /// Addresses of entries, at least one; the side learns the other entries from these.
     pub entries: Vec<String>,
-    /// The services the target runs; none listed means all.
+    /// Services that the target runs; an empty list means all services.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Accelerators of the worker.
+    /// Number of accelerators of the worker.
     #[serde(default)]
     pub accelerators: u16,
-    /// Memory of the worker in MiB.
+    /// Memory of the worker, in MiB.
     #[serde(default)]
     pub memory_mib: u32,
-    /// Where counters are read over HTTP.
+    /// Listen address of the HTTP server that serves the counters.
     pub metrics_listen: String,
-    /// Where counters are sent as StatsD packets.
+    /// Address to which counters are sent as StatsD packets; none are sent if not set.
     #[serde(default)]
     pub statsd: Option<String>,
-    /// How long a credit lives, in milliseconds.
+    /// Lifetime of a credit, in milliseconds.
     #[serde(default = "default_credit_lifetime_ms")]
     pub credit_lifetime_ms: u64,
-    /// How long a planned stop may take, in milliseconds.
+    /// Maximum time of a planned stop, in milliseconds.
     #[serde(default = "default_stop_deadline_ms")]
     pub stop_deadline_ms: u64,
-    /// Logs.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -66,7 +66,7 @@
         if let Some(statsd) = &self.statsd {
             check_address("statsd", statsd)?;
         }
-        // The entries' takeover waits for 1,500 ms: no credit may outlive that.
+        // An entry that takes over keys waits for 1,500 ms, and no credit may outlive that wait.
         check_range("credit_lifetime_ms", self.credit_lifetime_ms, 100..=1_500)?;
         check_range("stop_deadline_ms", self.stop_deadline_ms, 100..=600_000)?;
         self.log.check()
@@ -74,7 +74,7 @@
 }
 
 impl SideFile {
-    /// The settings of the core for one run of the process.
+    /// Returns the settings of the core for one incarnation of the process.
     pub fn core_settings(&self, incarnation: Incarnation) -> SideSettings {
         let mut settings = SideSettings::new(&self.name, &self.hall)
             .slots(self.slots)
--- a/crates/mastknot_side/src/target/mod.rs
+++ b/crates/mastknot_side/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! The target of a side, called over HTTP.
+//! HTTP client of a side's target.
 
 mod target_client;
 
--- a/crates/mastknot_side/src/target/target_client.rs
+++ b/crates/mastknot_side/src/target/target_client.rs
@@ -9,14 +9,14 @@
 use mastknot_core::message::{NotRunReason, TaskOrder, TaskOutcome, TaskResult};
 use mastknot_runtime::{HttpClient, plain_client, read_body};
 
-/// The longest that a connection to the target may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-/// The longest answer that is taken from a target.
+/// Maximum time to connect to the target.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum size of a target's answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// A target that answers with this header has not run the task.
+/// Response header by which a target reports that it has not run the task.
 const NOT_RUN_HEADER: &str = "mastknot-not-run";
 
-/// Runs tasks on one target.
+/// HTTP client that runs tasks on one target.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetClient {
     http: HttpClient,
@@ -26,18 +26,20 @@
 impl TargetClient {
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
-            http: plain_client(CONNECT_LIMIT),
+            http: plain_client(CONNECT_TIMEOUT),
             base: format!("http://{address}").into(),
         }
     }
 
-    /// Runs a task once and says how it ended. Only a certain "not run" is called so.
+    /// Runs a task once and returns its outcome.
+    ///
+    /// The outcome is `NotRun` only if it is certain that the target has not run the task.
     pub(crate) async fn run(&self, path: &str, order: TaskOrder) -> TaskOutcome {
-        let limit = Duration::from_millis(u64::from(order.deadline_ms));
+        let timeout = Duration::from_millis(u64::from(order.deadline_ms));
         let Some(request) = self.request(path, &order) else {
             return TaskOutcome::NotRun(NotRunReason::UnknownService);
         };
-        match tokio::time::timeout(limit, self.exchange(request, limit)).await {
+        match tokio::time::timeout(timeout, self.exchange(request, timeout)).await {
             Ok(outcome) => outcome,
             Err(_) => TaskOutcome::Stopped,
         }
@@ -55,10 +57,10 @@
             .ok()
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>, limit: Duration) -> TaskOutcome {
+    async fn exchange(&self, request: Request<Full<Bytes>>, timeout: Duration) -> TaskOutcome {
         let response = match self.http.request(request).await {
             Ok(response) => response,
-            // No connection was made, so the target saw nothing.
+            // No connection was made, so the target has not received the task.
             Err(error) if error.is_connect() => {
                 return TaskOutcome::NotRun(NotRunReason::TargetRefused);
             }
@@ -67,13 +69,13 @@
         if response.headers().contains_key(NOT_RUN_HEADER) {
             return TaskOutcome::NotRun(NotRunReason::TargetDeclined);
         }
-        answer(response, limit).await
+        read_outcome(response, timeout).await
     }
 }
 
-async fn answer(response: Response<Incoming>, limit: Duration) -> TaskOutcome {
+async fn read_outcome(response: Response<Incoming>, timeout: Duration) -> TaskOutcome {
     let status = response.status().as_u16();
-    match read_body(response.into_body(), MAX_ANSWER_BYTES, limit).await {
+    match read_body(response.into_body(), MAX_ANSWER_BYTES, timeout).await {
         Ok(body) => TaskOutcome::Done(TaskResult {
             status,
             body: body.as_ref().into(),
--- a/crates/mastknot_side/tests/target_memory.rs
+++ b/crates/mastknot_side/tests/target_memory.rs
@@ -1,7 +1,8 @@
-//! A side that starts while the store gives no answer.
+//! Start of a side while the store does not answer.
 //!
-//! What callers would see: after a loss of all processes beside a store that is away for a moment, nothing is served until
-//! each target's own next report.
+//! Guards against a side that reads the stored profile of its target only once: after a loss of all
+//! processes while the store is briefly unavailable, no job would be served until each target's next
+//! report.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,19 +21,20 @@
 use tokio::sync::watch;
 
 const KEY: &str = "targets/side-1";
-const LIMIT: Duration = Duration::from_secs(20);
-/// The bytes of a frame's length, which the store's value goes without.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Size of the length prefix of a frame, in bytes; the stored value omits the prefix.
 const LENGTH_BYTES: usize = 4;
 
-/// A store that turns its first calls away.
+/// Store that rejects its first calls.
 #[derive(Clone)]
-struct AwayAtFirst {
+struct RejectsFirstCalls {
     value: Vec<u8>,
     calls_left: Arc<AtomicUsize>,
 }
 
-impl AwayAtFirst {
-    fn is_away(&self) -> bool {
+impl RejectsFirstCalls {
+    /// Counts a call and returns whether the store rejects it.
+    fn rejects_call(&self) -> bool {
         let one_less = |left: usize| left.checked_sub(1);
         let left = &self.calls_left;
         left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_less)
@@ -40,12 +42,12 @@
     }
 }
 
-const TURNED_AWAY: SharedStoreError = SharedStoreError::TurnedAway { status: 503 };
+const REJECTED: SharedStoreError = SharedStoreError::TurnedAway { status: 503 };
 
-impl SharedStore for AwayAtFirst {
+impl SharedStore for RejectsFirstCalls {
     async fn read(&self, key: &str) -> Result<Option<SharedItem>, SharedStoreError> {
-        if self.is_away() {
-            return Err(TURNED_AWAY);
+        if self.rejects_call() {
+            return Err(REJECTED);
         }
         Ok(Some(SharedItem {
             key: key.to_owned(),
@@ -55,27 +57,27 @@
     }
 
     async fn check(&self, _: &[KnownRevision]) -> Result<SharedCheck, SharedStoreError> {
-        Err(TURNED_AWAY)
+        Err(REJECTED)
     }
 
     async fn list(&self, _: &str) -> Result<SharedList, SharedStoreError> {
-        Err(TURNED_AWAY)
+        Err(REJECTED)
     }
 
     async fn watch(&self, _: &str, _: u64, _: Duration) -> Result<SharedChanges, SharedStoreError> {
-        Err(TURNED_AWAY)
+        Err(REJECTED)
     }
 
     async fn grant(&self, _: Duration) -> Result<SharedLease, SharedStoreError> {
-        Err(TURNED_AWAY)
+        Err(REJECTED)
     }
 
     async fn renew(&self, _: SharedLease) -> Result<bool, SharedStoreError> {
-        Err(TURNED_AWAY)
+        Err(REJECTED)
     }
 
     async fn revoke(&self, _: SharedLease) -> Result<(), SharedStoreError> {
-        Err(TURNED_AWAY)
+        Err(REJECTED)
     }
 
     async fn write_leased(
@@ -85,15 +87,15 @@
         _: SharedLease,
         _: Option<u64>,
     ) -> Result<SharedWrite, SharedStoreError> {
-        Err(TURNED_AWAY)
+        Err(REJECTED)
     }
 }
 
-/// A target that shows which life of it the looks name.
+/// Target that publishes the incarnation to which probes are addressed.
 #[derive(Clone)]
-struct NamedTarget(watch::Sender<Option<TargetId>>);
+struct ProbedTarget(watch::Sender<Option<TargetId>>);
 
-impl TargetPort for NamedTarget {
+impl TargetPort for ProbedTarget {
     async fn start(&self, _: StartCall) -> OrderOutcome {
         OrderOutcome::NoAnswer
     }
@@ -110,7 +112,7 @@
     }
 }
 
-fn remembered() -> TargetProfile {
+fn stored_profile() -> TargetProfile {
     TargetProfile {
         id: TargetId::named("worker-1"),
         service: "orders".into(),
@@ -122,24 +124,26 @@
 #[tokio::test]
 async fn a_side_asks_again_until_the_store_answers() {
     let mut frame = bytes::BytesMut::new();
-    encode_frame(&remembered(), &mut frame).expect("a frame");
-    let store = AwayAtFirst {
+    encode_frame(&stored_profile(), &mut frame).expect("a frame");
+    let store = RejectsFirstCalls {
         value: frame[LENGTH_BYTES..].to_vec(),
         calls_left: Arc::new(AtomicUsize::new(2)),
     };
-    let (named, mut names) = watch::channel(None);
+    let (probed_sender, mut probed_ids) = watch::channel(None);
     let clock = Clock::start();
     let settings = AgentSettings::new("side-1".into(), clock.incarnation(), "hall-1".into());
     let node = AgentNode::start(AgentParts {
         settings,
         clock,
-        port: NamedTarget(named),
+        port: ProbedTarget(probed_sender),
         first_entries: Vec::new(),
     });
-    let memory = remember_target(node.clone(), store, KEY.to_owned(), node.profiles());
-    let memory = tokio::spawn(memory);
-    let named = tokio::time::timeout(LIMIT, names.wait_for(Option::is_some)).await;
-    let named = named.expect("the target is remembered").expect("a side");
-    assert_eq!(*named, Some(remembered().id));
-    memory.abort();
+    let remembering = remember_target(node.clone(), store, KEY.to_owned(), node.profiles());
+    let remembering = tokio::spawn(remembering);
+    let probed = tokio::time::timeout(TIMEOUT, probed_ids.wait_for(Option::is_some)).await;
+    let probed = probed
+        .expect("a probe names the stored target")
+        .expect("the side runs");
+    assert_eq!(*probed, Some(stored_profile().id));
+    remembering.abort();
 }
