--- a/crates/mastknot_entry/src/actor/entry_actor.rs
+++ b/crates/mastknot_entry/src/actor/entry_actor.rs
@@ -19,26 +19,26 @@
 use super::messages::Input;
 use crate::platform::{read_roster, write_roster};
 
-/// What the tasks around the actor share.
+/// State that the actor shares with the entry's other tasks.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
     pub(crate) stats: Arc<LinkStats>,
     pub(crate) store: StoreClient,
-    /// The configuration version in force, for watchers.
+    /// Configuration version in force, for the tasks that serve watches.
     pub(crate) config_version: watch::Sender<u64>,
-    /// Whether a planned stop has come to its end.
+    /// Whether the core has finished a planned stop.
     pub(crate) stopped: watch::Sender<bool>,
 }
 
-/// What the actor is made of.
+/// Parts from which the actor is started.
 pub(crate) struct EntryParts {
     pub(crate) core: EntryCore,
     pub(crate) shared: Arc<Shared>,
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
-/// Owns the core of an entry and carries out its effects.
+/// Actor that owns the core of an entry and carries out the core's effects.
 pub(crate) struct EntryActor {
     pub(super) core: EntryCore,
     pub(super) shared: Arc<Shared>,
@@ -49,7 +49,8 @@
     pub(super) callers: HashMap<RequestId, oneshot::Sender<Reply>>,
     pub(super) next_request: RequestId,
     pub(super) dialed: HashMap<SocketAddr, Dialed>,
-    /// Dialing ends with the actor: a set ends its tasks when it is dropped.
+    /// Tasks that dial entries. They end with the actor, because a `JoinSet` aborts its tasks when
+    /// it is dropped.
     pub(super) dialing: JoinSet<()>,
     pub(super) seeds: Vec<SocketAddr>,
 }
@@ -96,6 +97,7 @@
 }
 
 impl EntryActor {
+    /// Passes an event to the core, carries out the effects and sets the next tick.
     pub(super) fn step(&mut self, event: EntryEvent) {
         let now = self.shared.clock.now();
         let effects = self.core.step(now, event);
@@ -119,7 +121,7 @@
             EntryEffect::WriteRoster(write) => {
                 tokio::spawn(write_roster(self.shared.clone(), self.me.clone(), write));
             }
-            EntryEffect::RosterAdopted(roster) => self.roster_adopted(&roster),
+            EntryEffect::RosterAdopted(roster) => self.apply_roster(&roster),
             EntryEffect::ConfigAdvanced { version } => {
                 info!(version; "configuration in force");
                 self.shared.config_version.send_replace(version);
--- a/crates/mastknot_entry/src/actor/items.rs
+++ b/crates/mastknot_entry/src/actor/items.rs
@@ -1,4 +1,4 @@
-//! The stored resources as they are in force here.
+//! Stored resources that are in force at this entry.
 
 use kameo::message::{Context, Message};
 use mastknot_core::message::ConfigItem;
--- a/crates/mastknot_entry/src/actor/links.rs
+++ b/crates/mastknot_entry/src/actor/links.rs
@@ -1,4 +1,5 @@
-//! The links to sides and peers: which run each leads to, and what comes and goes over it.
+//! Links to sides and peers: the incarnation at the other end of each link, and the messages over
+//! it.
 
 use kameo::message::{Context, Message};
 use log::{debug, info};
@@ -11,19 +12,20 @@
 use super::EntryActor;
 use super::messages::{FromPeer, FromSide, LinkDown, PeerUp, SideUp};
 
-/// The link to one run of a side.
+/// Link to one incarnation of a side.
 pub(super) struct SideLink {
     incarnation: Incarnation,
     link: u64,
     pub(super) sender: LinkSender<EntryMessage>,
 }
 
+/// One open link to a peer.
 struct PeerLink {
     link: u64,
     sender: LinkSender<PeerMessage>,
 }
 
-/// The links to one run of a peer: the first that stands is used until it breaks.
+/// Links to one incarnation of a peer. Messages go over the oldest open link until it closes.
 pub(super) struct Peer {
     incarnation: Incarnation,
     links: Vec<PeerLink>,
@@ -138,7 +140,7 @@
         if let Some(link) = self.sides.get(side)
             && let Err(error) = link.sender.send(message)
         {
-            debug!(side = side.as_str(); "message not sent: {error}");
+            debug!(side = side.as_str(); "message to a side not sent: {error}");
         }
     }
 
@@ -150,7 +152,7 @@
             return;
         };
         if let Err(error) = link.sender.send(message) {
-            debug!(peer = peer.as_str(); "message not sent: {error}");
+            debug!(peer = peer.as_str(); "message to a peer not sent: {error}");
         }
     }
 
--- a/crates/mastknot_entry/src/actor/live.rs
+++ b/crates/mastknot_entry/src/actor/live.rs
@@ -1,4 +1,4 @@
-//! Live resources as JSON: what the entry runs, knows, decided and counted.
+//! Live resources as JSON: submissions, targets, entries, decisions, status and counters.
 
 use kameo::message::{Context, Message};
 use mastknot_core::decision::Decision;
--- a/crates/mastknot_entry/src/actor/members.rs
+++ b/crates/mastknot_entry/src/actor/members.rs
@@ -1,4 +1,4 @@
-//! The other entries: who is dialed, and who is named to sides and peers.
+//! Members of the roster: the entry dials the other members and sends their addresses to sides.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,20 +10,20 @@
 use tokio::sync::watch;
 
 use super::EntryActor;
-use super::messages::Ask;
+use super::messages::GetHello;
 use crate::peers::{Hello, keep_dialing};
 
-/// An address that is dialed.
+/// Dialing task of one address.
 pub(super) struct Dialed {
-    /// The run that the roster names there.
+    /// Member that the roster lists at the address; `None` if the roster lists none.
     expected: watch::Sender<Option<MemberId>>,
     task: tokio::task::AbortHandle,
 }
 
-impl Message<Ask> for EntryActor {
+impl Message<GetHello> for EntryActor {
     type Reply = Hello;
 
-    async fn handle(&mut self, _: Ask, _: &mut Context<Self, Self::Reply>) -> Hello {
+    async fn handle(&mut self, _: GetHello, _: &mut Context<Self, Self::Reply>) -> Hello {
         Hello {
             member: self.core.membership().me().clone(),
             roster_version: self.core.membership().version(),
@@ -34,14 +34,16 @@
 }
 
 impl EntryActor {
-    pub(super) fn roster_adopted(&mut self, roster: &Roster) {
+    /// Dials the members of a newly adopted roster and sends the members' addresses to all sides.
+    pub(super) fn apply_roster(&mut self, roster: &Roster) {
         let names: Vec<&str> = roster.member_ids().map(|id| id.name.as_str()).collect();
         info!(version = roster.version, members:? = names; "roster in force");
         self.dial_members(roster);
         self.welcome_sides();
     }
 
-    /// Dials the members of a roster, and ends the dialing of all that are neither in it nor seeds.
+    /// Dials the members of a roster and ends the dialing of every address that is neither in the
+    /// roster nor a seed.
     fn dial_members(&mut self, roster: &Roster) {
         let me = self.core.membership().me().id.clone();
         let mut wanted: Vec<SocketAddr> = self.seeds.clone();
@@ -60,7 +62,7 @@
         });
     }
 
-    /// Tells the sides which entries there are.
+    /// Sends the addresses of all entries to every linked side.
     fn welcome_sides(&self) {
         let me = self.core.membership().me().id.clone();
         let welcome = EntryMessage::Welcome {
@@ -73,19 +75,21 @@
         }
     }
 
+    /// Starts the dialing of an address, or updates the member that is expected there.
     pub(super) fn dial(&mut self, address: SocketAddr, expected: Option<MemberId>) {
         if let Some(dialed) = self.dialed.get(&address) {
             dialed.expected.send_replace(expected);
             return;
         }
-        let (expected, expects) = watch::channel(expected);
+        let (expected, expected_receiver) = watch::channel(expected);
         let me = self.me.clone();
         let stats = Arc::clone(&self.shared.stats);
-        let dialing = keep_dialing(me, address, expects, stats);
+        let dialing = keep_dialing(me, address, expected_receiver, stats);
         let task = self.dialing.spawn(dialing);
         self.dialed.insert(address, Dialed { expected, task });
     }
 
+    /// Returns the addresses of all members of the roster and of this entry.
     fn entry_addresses(&self) -> Vec<String> {
         let me = self.core.membership().me();
         let members = self
--- a/crates/mastknot_entry/src/actor/messages.rs
+++ b/crates/mastknot_entry/src/actor/messages.rs
@@ -8,23 +8,23 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-/// One event for the core.
+/// Message with one event for the core.
 pub(crate) struct Input(pub(crate) EntryEvent);
 
-/// A caller's request with where its reply goes.
+/// Message with a caller's request and the channel for its reply.
 pub(crate) struct Submit {
     pub(crate) ask: CallerRequest,
     pub(crate) reply: oneshot::Sender<Reply>,
 }
 
-/// A side's link stands and the side said who it is.
+/// Message that a link to a side is open and that the side has sent its hello.
 pub(crate) struct SideUp {
     pub(crate) hello: SideHello,
     pub(crate) link: u64,
     pub(crate) sender: LinkSender<EntryMessage>,
 }
 
-/// A peer's link stands and the peer said who it is.
+/// Message that a link to a peer is open and that the peer has sent its hello.
 pub(crate) struct PeerUp {
     pub(crate) member: Member,
     pub(crate) roster_version: u64,
@@ -33,20 +33,20 @@
     pub(crate) sender: LinkSender<PeerMessage>,
 }
 
-/// Messages of one side that arrived together.
+/// Message with the messages of one side that arrived together.
 pub(crate) struct FromSide {
     pub(crate) side: NodeName,
     pub(crate) incarnation: Incarnation,
     pub(crate) messages: Vec<SideMessage>,
 }
 
-/// Messages of one peer that arrived together.
+/// Message with the messages of one peer that arrived together.
 pub(crate) struct FromPeer {
     pub(crate) peer: MemberId,
     pub(crate) messages: Vec<PeerMessage>,
 }
 
-/// A link broke.
+/// Message that a link to a side or a peer has closed.
 pub(crate) enum LinkDown {
     Side {
         side: NodeName,
@@ -59,43 +59,46 @@
     },
 }
 
-/// Asks for this entry as a member with its versions, for saying hello to a peer.
-pub(crate) struct Ask;
+/// Request for the [`Hello`](crate::peers::Hello) that this entry sends on a new link.
+pub(crate) struct GetHello;
 
-/// Which live resources are asked for.
+/// Kind of live resources in a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LiveKind {
     Jobs,
     Targets,
     Entries,
-    Decisions { after: u64 },
+    /// Decisions with a number above `after`.
+    Decisions {
+        after: u64,
+    },
     Status,
     Counters,
 }
 
-/// Asks for live resources.
+/// Request for the live resources of a kind.
 pub(crate) struct GetLive(pub(crate) LiveKind);
 
-/// Live resources as JSON.
+/// Reply in JSON: live resources, decisions or issued keys.
 #[derive(Debug, kameo::Reply)]
 pub(crate) struct Live(pub(crate) Value);
 
-/// Asks for new keys that this entry holds.
+/// Request for a number of new keys that this entry owns.
 pub(crate) struct IssueKeys(pub(crate) usize);
 
-/// Asks for all decisions about a submission.
+/// Request for all decisions about a submission.
 pub(crate) struct Explain(pub(crate) SubmissionKey);
 
-/// Asks for one stored resource as it is in force here.
+/// Request for one stored resource, as it is in force at this entry.
 pub(crate) struct GetItem(pub(crate) ResourceName);
 
-/// Asks for the stored resources of a kind that changed after a version, deletions included.
+/// Request for the stored resources of a kind that changed after a version, deletions included.
 pub(crate) struct ListItems {
     pub(crate) kind: String,
     pub(crate) after: u64,
 }
 
-/// Stored resources, with the version in force.
+/// Reply with stored resources and the configuration version in force.
 #[derive(Debug, kameo::Reply)]
 pub(crate) struct Items {
     pub(crate) version: u64,
--- a/crates/mastknot_entry/src/actor/mod.rs
+++ b/crates/mastknot_entry/src/actor/mod.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the entry's core.
+//! Actor that owns the core of an entry, with its messages and links.
 
 mod entry_actor;
 mod items;
@@ -10,6 +10,6 @@
 
 pub(crate) use entry_actor::{EntryActor, EntryParts, Shared};
 pub(crate) use messages::{
-    Ask, Explain, FromPeer, FromSide, GetItem, GetLive, Input, IssueKeys, Items, LinkDown,
+    Explain, FromPeer, FromSide, GetHello, GetItem, GetLive, Input, IssueKeys, Items, LinkDown,
     ListItems, Live, LiveKind, PeerUp, SideUp, Submit,
 };
--- a/crates/mastknot_entry/src/callers/caller_api.rs
+++ b/crates/mastknot_entry/src/callers/caller_api.rs
@@ -15,18 +15,20 @@
 use serde_json::json;
 use tokio::sync::oneshot;
 
-use super::job_request::{BadRequest, Parsed, parse_job, parse_request, parse_request_as};
+use super::job_request::{
+    BadRequest, ParsedSubmission, parse_job, parse_request, parse_request_as,
+};
 use super::rendering::render;
 use crate::actor::{EntryActor, GetItem, IssueKeys, Live, Submit};
 
-/// Keys that are issued at once, at most.
+/// Maximum number of keys that one request issues.
 const MAX_KEYS: usize = 1_000;
-/// How long a body may take to arrive.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Maximum time until the whole body of a request has arrived.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Counts what callers sent that makes no submission.
+/// Numbers of callers' requests that could not be read, by cause.
 #[derive(Debug, Default)]
-pub(crate) struct BadInput {
+pub(crate) struct BadInputCounters {
     pub(crate) malformed: AtomicU64,
     pub(crate) too_long: AtomicU64,
     pub(crate) too_slow: AtomicU64,
@@ -34,13 +36,13 @@
     pub(crate) unknown_path: AtomicU64,
 }
 
-/// Answers callers.
+/// HTTP interface for callers.
 #[derive(Clone)]
 pub(crate) struct CallerApi {
     pub(crate) actor: ActorRef<EntryActor>,
     pub(crate) clock: Clock,
     pub(crate) max_body: usize,
-    pub(crate) bad_input: Arc<BadInput>,
+    pub(crate) bad_input: Arc<BadInputCounters>,
 }
 
 impl CallerApi {
@@ -61,22 +63,23 @@
             _ => {
                 self.bad_input.unknown_path.fetch_add(1, Ordering::Relaxed);
                 let problem = "unknown path; see docs/ARCHITECTURE.md for the callers' interface";
-                error(StatusCode::NOT_FOUND, "unknown_path", problem)
+                error_response(StatusCode::NOT_FOUND, "unknown_path", problem)
             }
         }
     }
 
-    /// New keys that this entry holds: what is submitted here with one needs no second hop.
+    /// Returns new keys that this entry owns. A submission with such a key at this entry is not
+    /// forwarded to another entry.
     async fn issue_keys(&self, parts: &RequestParts) -> Response<ResponseBody> {
         let count = parts.query("count").map_or(Ok(1), str::parse::<usize>);
         let Some(count) = count.ok().filter(|count| (1..=MAX_KEYS).contains(count)) else {
             self.bad_input.malformed.fetch_add(1, Ordering::Relaxed);
             let problem = format!("`count` must be 1 to {MAX_KEYS}");
-            return error(StatusCode::BAD_REQUEST, "malformed", &problem);
+            return error_response(StatusCode::BAD_REQUEST, "malformed", &problem);
         };
         match self.actor.ask(IssueKeys(count)).await {
             Ok(Live(keys)) => json_response(StatusCode::OK, &json!({ "keys": keys })),
-            Err(_) => gone("not_run"),
+            Err(_) => stopping_response("not_run"),
         }
     }
 
@@ -98,7 +101,8 @@
             Err(response) => return response,
         };
         let parsed = match parse_request(&bytes, service) {
-            // Only a request that may run twice can do without a key.
+            // A request without a key can't be recognised when it is submitted again, so only
+            // requests that may run twice are accepted without one.
             Err(BadRequest::KeyMissing) if self.is_repeatable(service).await => {
                 let key = SubmissionKey::new(self.clock.now().wall, rand::random());
                 parse_request_as(&bytes, service, Some(key))
@@ -124,7 +128,7 @@
         &self,
         request: Request<Incoming>,
     ) -> Result<bytes::Bytes, Response<ResponseBody>> {
-        let body = read_body(request.into_body(), self.max_body, BODY_TIME).await;
+        let body = read_body(request.into_body(), self.max_body, BODY_TIMEOUT).await;
         body.map_err(|problem| {
             let (counter, status, code) = match problem {
                 BodyError::TooLong { .. } => (
@@ -144,16 +148,16 @@
                 ),
             };
             counter.fetch_add(1, Ordering::Relaxed);
-            error(status, code, &problem.to_string())
+            error_response(status, code, &problem.to_string())
         })
     }
 
-    async fn submit(&self, parsed: Result<Parsed, BadRequest>) -> Response<ResponseBody> {
+    async fn submit(&self, parsed: Result<ParsedSubmission, BadRequest>) -> Response<ResponseBody> {
         let parsed = match parsed {
             Ok(parsed) => parsed,
             Err(problem) => {
                 self.bad_input.malformed.fetch_add(1, Ordering::Relaxed);
-                return error(StatusCode::BAD_REQUEST, "malformed", &problem.to_string());
+                return error_response(StatusCode::BAD_REQUEST, "malformed", &problem.to_string());
             }
         };
         let key = parsed.submission.key;
@@ -169,7 +173,7 @@
             Ok(key) => self.ask(key, CallerRequest::Fetch { key, wait }).await,
             Err(problem) => {
                 self.bad_input.malformed.fetch_add(1, Ordering::Relaxed);
-                error(StatusCode::BAD_REQUEST, "malformed", &problem.to_string())
+                error_response(StatusCode::BAD_REQUEST, "malformed", &problem.to_string())
             }
         }
     }
@@ -177,23 +181,24 @@
     async fn ask(&self, key: SubmissionKey, ask: CallerRequest) -> Response<ResponseBody> {
         let (reply, replied) = oneshot::channel();
         if self.actor.tell(Submit { ask, reply }).await.is_err() {
-            return gone("not_run");
+            return stopping_response("not_run");
         }
         match replied.await {
             Ok(reply) => render(key, &reply),
-            Err(_) => gone("unknown"),
+            Err(_) => stopping_response("unknown"),
         }
     }
 }
 
-/// The process is ending and cannot say more.
-fn gone(ran: &str) -> Response<ResponseBody> {
+/// Returns the response of an entry that is stopping; `ran` reports whether the request may have
+/// run.
+fn stopping_response(ran: &str) -> Response<ResponseBody> {
     let body = json!({ "state": "refused", "reason": "stopping", "ran": ran });
     json_response(StatusCode::SERVICE_UNAVAILABLE, &body)
 }
 
-/// Nothing of a malformed request has run.
-fn error(status: StatusCode, code: &str, problem: &str) -> Response<ResponseBody> {
+/// Returns the response to a malformed request; no task of such a request has run.
+fn error_response(status: StatusCode, code: &str, problem: &str) -> Response<ResponseBody> {
     let body = json!({ "state": "error", "error": code, "problem": problem, "ran": "not_run" });
     json_response(status, &body)
 }
--- a/crates/mastknot_entry/src/callers/job_request.rs
+++ b/crates/mastknot_entry/src/callers/job_request.rs
@@ -4,32 +4,32 @@
 use serde_json::value::RawValue;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// The deadline of a request that names none, in milliseconds.
+/// Deadline of a request that sets none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u32 = 30_000;
-/// The longest name of a team, customer or service.
-const MAX_NAME: usize = 128;
+/// Maximum length of the name of a team, customer or service, in bytes.
+const MAX_NAME_BYTES: usize = 128;
 
-/// Why a caller's body makes no submission.
+/// Error in the body of a caller's request.
 #[derive(Debug, Snafu)]
 pub(crate) enum BadRequest {
-    /// The body is no JSON of the expected form.
-    #[snafu(display("the body is not as expected: {source}"))]
+    /// The body is not JSON, or a field is unknown, missing or of the wrong type.
+    #[snafu(display("the body is not valid JSON with the expected fields: {source}"))]
     Json { source: serde_json::Error },
-    /// The key can't be used.
+    /// The key is malformed.
     #[snafu(display("{source}"))]
     Key { source: KeyError },
-    /// A job and a request that may not be repeated need a key.
-    #[snafu(display("`key` is missing: a job needs one, so that it can be submitted again"))]
+    /// The key is missing, although jobs and requests that must not run twice need one.
+    #[snafu(display("`key` is missing: a job needs a key, so that it can be submitted again"))]
     KeyMissing,
     /// A name is empty or too long.
-    #[snafu(display("`{field}` must have 1 to {MAX_NAME} bytes"))]
+    #[snafu(display("`{field}` must have 1 to {MAX_NAME_BYTES} bytes"))]
     Name { field: &'static str },
     /// The deadline is zero.
     #[snafu(display("`deadline_ms` must be above 0"))]
     Deadline,
 }
 
-/// The body of a job.
+/// Body of a request that submits a job.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct JobBody<'a> {
@@ -43,7 +43,7 @@
     wait: Option<bool>,
 }
 
-/// The body of a service request.
+/// Body of a service request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RequestBody<'a> {
@@ -56,10 +56,11 @@
     wait: Option<bool>,
 }
 
-/// A submission with whether its caller waits.
+/// A submission that was read from a request's body.
 #[derive(Debug)]
-pub(crate) struct Parsed {
+pub(crate) struct ParsedSubmission {
     pub(crate) submission: Submission,
+    /// Whether the caller waits for the answer.
     pub(crate) wait: bool,
 }
 
@@ -68,7 +69,7 @@
 }
 
 fn name(field: &'static str, text: &str) -> Result<NodeName, BadRequest> {
-    let is_good = (1..=MAX_NAME).contains(&text.len());
+    let is_good = (1..=MAX_NAME_BYTES).contains(&text.len());
     is_good.then(|| text.into()).context(NameSnafu { field })
 }
 
@@ -77,11 +78,11 @@
     (deadline > 0).then_some(deadline).context(DeadlineSnafu)
 }
 
-/// Reads a job.
-pub(crate) fn parse_job(bytes: &[u8]) -> Result<Parsed, BadRequest> {
+/// Reads a job from the body of a request.
+pub(crate) fn parse_job(bytes: &[u8]) -> Result<ParsedSubmission, BadRequest> {
     let body: JobBody<'_> = serde_json::from_slice(bytes).context(JsonSnafu)?;
     let key = body.key.context(KeyMissingSnafu)?;
-    Ok(Parsed {
+    Ok(ParsedSubmission {
         submission: Submission {
             key: key.parse().context(KeySnafu)?,
             kind: SubmissionKind::Job,
@@ -95,21 +96,21 @@
     })
 }
 
-/// Reads a service request.
-pub(crate) fn parse_request(bytes: &[u8], service: &str) -> Result<Parsed, BadRequest> {
+/// Reads a service request from its body; the request must have a key.
+pub(crate) fn parse_request(bytes: &[u8], service: &str) -> Result<ParsedSubmission, BadRequest> {
     parse_request_as(bytes, service, None)
 }
 
-/// Reads a service request; one without a key gets `fallback`.
+/// Reads a service request from its body; a request without a key gets the key `fallback`.
 pub(crate) fn parse_request_as(
     bytes: &[u8],
     service: &str,
     fallback: Option<SubmissionKey>,
-) -> Result<Parsed, BadRequest> {
+) -> Result<ParsedSubmission, BadRequest> {
     let body: RequestBody<'_> = serde_json::from_slice(bytes).context(JsonSnafu)?;
     let given = body.key.map(|key| key.parse()).transpose();
     let key = given.context(KeySnafu)?.or(fallback);
-    Ok(Parsed {
+    Ok(ParsedSubmission {
         submission: Submission {
             key: key.context(KeyMissingSnafu)?,
             kind: SubmissionKind::Request,
--- a/crates/mastknot_entry/src/callers/mod.rs
+++ b/crates/mastknot_entry/src/callers/mod.rs
@@ -1,7 +1,7 @@
-//! The callers' interface over HTTP.
+//! HTTP interface for callers.
 
 mod caller_api;
 mod job_request;
 mod rendering;
 
-pub(crate) use caller_api::{BadInput, CallerApi};
+pub(crate) use caller_api::{BadInputCounters, CallerApi};
--- a/crates/mastknot_entry/src/callers/rendering.rs
+++ b/crates/mastknot_entry/src/callers/rendering.rs
@@ -5,14 +5,15 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-/// One task's answer.
+/// Answer of one task, as callers receive it.
 #[derive(Serialize)]
 struct TaskAnswer<'a> {
     status: u16,
     body: Body<'a>,
 }
 
-/// A target's body: JSON as it is, other text as a JSON text, other bytes as numbers.
+/// Body of a target's answer: JSON unchanged, other text as a JSON string, other bytes as an array
+/// of numbers.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum Body<'a> {
@@ -21,6 +22,7 @@
     Bytes(&'a [u8]),
 }
 
+/// Body of the response to a caller.
 #[derive(Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 enum Rendered<'a> {
@@ -64,7 +66,7 @@
     }
 }
 
-/// The response to a caller.
+/// Returns the HTTP response for the reply to a caller.
 pub(crate) fn render(key: SubmissionKey, reply: &Reply) -> Response<ResponseBody> {
     let key = key.to_string();
     match reply {
@@ -103,6 +105,7 @@
     response
 }
 
+/// Returns the HTTP status of a refusal.
 fn status(reason: RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::KeyTooOld | RefusalReason::KeyFromFuture | RefusalReason::BadTaskCount => {
--- a/crates/mastknot_entry/src/jobs/job_actor.rs
+++ b/crates/mastknot_entry/src/jobs/job_actor.rs
@@ -18,7 +18,7 @@
 use super::job_logs::log_decision;
 use super::job_metrics::JobMetrics;
 
-/// What the actor is made of.
+/// Parts from which the actor is started.
 pub(super) struct JobActorParts {
     pub(super) core: JobScheduler,
     pub(super) clock: Clock,
@@ -26,13 +26,13 @@
     pub(super) has_side: watch::Sender<bool>,
 }
 
-/// A link as the actor holds it; dropping it closes the link.
+/// An open link to a side; dropping the value closes the link.
 struct OpenLink {
     sender: LinkSender<EntryOrder>,
     _closed: oneshot::Sender<()>,
 }
 
-/// Owns the core of an entry and carries out its effects.
+/// Actor that owns the scheduler of an entry and carries out the scheduler's effects.
 pub(super) struct JobActor {
     parts: JobActorParts,
     ticker: Ticker,
@@ -41,66 +41,67 @@
     metrics: JobMetrics,
 }
 
-/// One event for the core.
+/// Message with one event for the core.
 pub(super) struct JobInput(pub(super) SchedulerEvent);
 
-/// A caller's job.
+/// Message with a caller's job and the channel for its answer.
 pub(super) struct JobSubmit {
     pub(super) caller: CallerId,
     pub(super) event: SchedulerEvent,
     pub(super) answer: oneshot::Sender<JobAnswer>,
 }
 
-/// A link stands.
+/// Message that a link to a side is open.
 pub(super) struct JobLinkUp {
     pub(super) session: SessionId,
     pub(super) sender: LinkSender<EntryOrder>,
     pub(super) closed: oneshot::Sender<()>,
 }
 
-/// Reports that arrived together.
+/// Message with reports of a side that arrived together.
 pub(super) struct JobReports {
     pub(super) session: SessionId,
     pub(super) reports: Vec<SideReport>,
 }
 
-/// A link is gone.
+/// Message that a link has closed.
 pub(super) struct JobLinkDown {
     pub(super) session: SessionId,
 }
 
-/// Asks for the jobs of a queue of which nothing has begun.
+/// Request for the number of jobs of a queue of which no task has started.
 pub(super) struct GetPending(pub(super) String);
 
-/// Asks for all figures as text.
+/// Request for all metrics in the Prometheus text format.
 pub(super) struct GetJobMetrics;
 
-/// Asks for what operators may read.
+/// Request for the entry's [`JobReport`].
 pub(super) struct GetJobReport;
 
-/// Asks for what is to be written of what was learned, against what is known to be written.
+/// Request for the part of the learned profile that differs from the given stored profile and is to
+/// be written.
 pub(super) struct GetProfileOffer(pub(super) Option<Arc<LearnedProfile>>);
 
-/// What operators may read of an entry.
+/// Figures of an entry that operators read.
 #[derive(Clone, Debug, kameo::Reply, serde::Serialize)]
 pub struct JobReport {
-    /// Jobs that are not answered.
+    /// Number of jobs without an answer.
     pub open_jobs: usize,
-    /// Jobs of which a task waits for room.
+    /// Number of jobs of which a task waits for capacity.
     pub waiting_jobs: usize,
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub config_version: u64,
-    /// Halls that operators have drained.
+    /// Number of halls that operators have drained.
     pub drained_halls: usize,
-    /// Runs of this entry that go on in drained halls.
+    /// Number of runs of this entry that continue in drained halls.
     pub runs_in_drained_halls: usize,
-    /// The revision of the weights of halls, 0 for none.
+    /// Revision of the weights of halls; 0 if there are none.
     pub share_revision: u64,
-    /// Links to sides.
+    /// Number of links to sides.
     pub links: usize,
-    /// Those of them that are used for starts.
+    /// Number of links to sides that are used for starts.
     pub active_links: usize,
-    /// Events since the start.
+    /// Counts of the scheduler's events since the start.
     pub counters: SchedulerCounters,
 }
 
@@ -182,8 +183,8 @@
 impl Message<GetPending> for JobActor {
     type Reply = usize;
 
-    async fn handle(&mut self, asked: GetPending, _: &mut Context<Self, Self::Reply>) -> usize {
-        self.parts.core.pending(&asked.0)
+    async fn handle(&mut self, request: GetPending, _: &mut Context<Self, Self::Reply>) -> usize {
+        self.parts.core.pending(&request.0)
     }
 }
 
@@ -192,11 +193,11 @@
 
     async fn handle(
         &mut self,
-        asked: GetProfileOffer,
+        request: GetProfileOffer,
         _: &mut Context<Self, Self::Reply>,
     ) -> Option<ProfileOffer> {
         let wall = self.parts.clock.now().wall;
-        self.parts.core.profile_offer(asked.0.as_deref(), wall)
+        self.parts.core.profile_offer(request.0.as_deref(), wall)
     }
 }
 
@@ -233,6 +234,7 @@
         }
     }
 
+    /// Passes an event to the core, carries out the effects and sets the next tick.
     fn step(&mut self, event: SchedulerEvent) {
         let now = self.parts.clock.monotonic();
         let effects = self.parts.core.step(now, event);
@@ -261,7 +263,7 @@
                 let _ = self.parts.documents.send(document);
             }
             SchedulerEffect::Decided(decision) => {
-                self.metrics.note(now, &decision);
+                self.metrics.record(now, &decision);
                 log_decision(&decision);
             }
         }
@@ -272,7 +274,7 @@
             return;
         };
         if let Err(error) = link.sender.send(order) {
-            debug!(session = session.0; "order not sent: {error}");
+            debug!(session = session.0; "order to a side not sent: {error}");
             self.links.remove(&session);
         }
     }
--- a/crates/mastknot_entry/src/jobs/job_links.rs
+++ b/crates/mastknot_entry/src/jobs/job_links.rs
@@ -1,4 +1,4 @@
-//! Taking the links of sides.
+//! Links that sides open to an entry.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,9 +12,10 @@
 use super::job_actor::{JobActor, JobLinkDown, JobLinkUp, JobReports};
 use crate::link_listener;
 
+/// Identifier of the next link of this process.
 static NEXT_SESSION: AtomicU64 = AtomicU64::new(1);
 
-/// Takes the links of sides as long as the actor lives.
+/// Accepts and serves the links of sides until the future is dropped.
 pub(super) async fn listen(
     listener: TcpListener,
     actor: ActorRef<JobActor>,
@@ -33,11 +34,12 @@
 ) -> Result<(), LinkError> {
     match accept(stream, stats).await? {
         Accepted::Agent(link) => serve_agent(&actor, link).await,
-        // This entry runs sized tasks only.
+        // This entry accepts only sides that run tasks of known size.
         Accepted::Side(_) | Accepted::Peer(_) => Ok(()),
     }
 }
 
+/// Passes the reports of one open link to the actor until the link closes.
 async fn serve_agent(
     actor: &ActorRef<JobActor>,
     mut link: Link<EntryOrder, SideReport>,
@@ -50,11 +52,11 @@
         closed,
     };
     let _ = actor.tell(up).await;
-    let take = |reports| async move {
-        let told = actor.tell(JobReports { session, reports }).await;
-        told.is_ok()
+    let deliver = |reports| async move {
+        let delivered = actor.tell(JobReports { session, reports }).await;
+        delivered.is_ok()
     };
-    let result = link.receiver.forward(close, take).await;
+    let result = link.receiver.forward(close, deliver).await;
     let _ = actor.tell(JobLinkDown { session }).await;
     result
 }
--- a/crates/mastknot_entry/src/jobs/job_logs.rs
+++ b/crates/mastknot_entry/src/jobs/job_logs.rs
@@ -1,12 +1,13 @@
-//! One log line for each decision of an entry.
+//! Log lines of an entry's decisions.
 
 use log::{debug, info, warn};
 use mastknot_core::scheduler::SchedulerDecision;
 use mastknot_core::types::Hall;
 
-/// The target of decision lines, by which they can be filtered.
+/// Log target of the decision lines, by which they can be filtered.
 const DECISION: &str = "decision";
 
+/// Writes the log line of a decision.
 pub(super) fn log_decision(decision: &SchedulerDecision) {
     match decision {
         SchedulerDecision::Taken {
@@ -42,7 +43,8 @@
             waited_ms,
         } => info!(target: DECISION, run:%, request_id:%, side:%, free_cpu_millis, view_age_ms,
             outlook:?, waited_ms; "task_placed"),
-        // Many a second in crowded times; `task_placed` says what came of them.
+        // Needs are reported many times a second under contention, so they are logged at debug
+        // level. The `task_placed` line reports the start that follows.
         SchedulerDecision::NeedReported {
             rank,
             cpu_millis,
--- a/crates/mastknot_entry/src/jobs/job_metrics.rs
+++ b/crates/mastknot_entry/src/jobs/job_metrics.rs
@@ -21,16 +21,16 @@
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct ForecastLabels {
     queue: String,
-    /// Whether the wait was shorter or longer than forecast.
+    /// Whether the actual wait was `shorter` or `longer` than the forecast.
     seen: &'static str,
 }
 
-/// Latencies of an entry's jobs.
+/// Prometheus metrics of an entry's jobs: latencies, forecast errors and the time to recover.
 pub(super) struct JobMetrics {
     registry: Registry,
     job_seconds: Family<AnswerLabels, Histogram>,
     first_start_seconds: Histogram,
-    room_wait_seconds: Histogram,
+    task_wait_seconds: Histogram,
     forecast_error_seconds: Family<ForecastLabels, Histogram>,
     recovery_seconds: Gauge<f64, AtomicU64>,
 }
@@ -40,50 +40,50 @@
         let mut registry = Registry::default();
         let job_seconds = Family::new_with_constructor(latency_histogram as fn() -> Histogram);
         let first_start_seconds = latency_histogram();
-        let room_wait_seconds = latency_histogram();
+        let task_wait_seconds = latency_histogram();
         registry.register(
             "mastknot_job_seconds",
-            "From handing in to the answer, by answer",
+            "Time from the submission of a job to its answer, by answer",
             job_seconds.clone(),
         );
         registry.register(
             "mastknot_first_start_seconds",
-            "From handing in to the first start of a task",
+            "Time from the submission of a job to the first start of a task",
             first_start_seconds.clone(),
         );
         registry.register(
             "mastknot_task_wait_seconds",
-            "From handing in to each start of a task",
-            room_wait_seconds.clone(),
+            "Time from the submission of a job to each start of a task",
+            task_wait_seconds.clone(),
         );
         let forecast_error_seconds =
             Family::new_with_constructor(latency_histogram as fn() -> Histogram);
         registry.register(
             "mastknot_forecast_error_seconds",
-            "The wait for room that was forecast of a job against the one that came, by queue",
+            "Difference between the forecast and the actual wait of a job for capacity, by queue",
             forecast_error_seconds.clone(),
         );
         let recovery_seconds = Gauge::default();
         registry.register(
             "mastknot_recovery_seconds",
-            "From the start of the process to its first job in time; 0 until then",
+            "Time from the start of the process to its first job completed in time; 0 until then",
             recovery_seconds.clone(),
         );
         Self {
             registry,
             job_seconds,
             first_start_seconds,
-            room_wait_seconds,
+            task_wait_seconds,
             forecast_error_seconds,
             recovery_seconds,
         }
     }
 
-    /// Takes in a decision of the moment `now`, which counts from the start of the process.
-    pub(super) fn note(&self, now: Moment, decision: &SchedulerDecision) {
+    /// Records a decision at the moment `now`, which counts from the start of the process.
+    pub(super) fn record(&self, now: Moment, decision: &SchedulerDecision) {
         match decision {
             SchedulerDecision::Placed { waited_ms, .. } => {
-                self.room_wait_seconds.observe(seconds(*waited_ms));
+                self.task_wait_seconds.observe(seconds(*waited_ms));
             }
             SchedulerDecision::Answered {
                 answer,
@@ -93,7 +93,7 @@
                 ..
             } => {
                 if *in_time && *answer == JobAnswer::Completed {
-                    self.note_recovery(now);
+                    self.record_recovery(now);
                 }
                 let answer = answer_name(answer);
                 let labels = AnswerLabels { answer };
@@ -106,35 +106,37 @@
             }
             SchedulerDecision::ForecastSeen {
                 queue,
-                forecast_ms: said_ms,
-                actual_ms: seen_ms,
+                forecast_ms,
+                actual_ms,
                 ..
-            } => self.note_forecast(queue, *said_ms, *seen_ms),
+            } => self.record_forecast(queue, *forecast_ms, *actual_ms),
             _ => {}
         }
     }
 
-    fn note_forecast(&self, queue: &Arc<str>, said_ms: u64, seen_ms: u64) {
-        let seen = match seen_ms > said_ms {
+    fn record_forecast(&self, queue: &Arc<str>, forecast_ms: u64, actual_ms: u64) {
+        let seen = match actual_ms > forecast_ms {
             true => "longer",
             false => "shorter",
         };
         let queue = queue.to_string();
         let labels = ForecastLabels { queue, seen };
         let error = self.forecast_error_seconds.get_or_create(&labels);
-        error.observe(seconds(said_ms.abs_diff(seen_ms)));
+        error.observe(seconds(forecast_ms.abs_diff(actual_ms)));
     }
 
-    fn note_recovery(&self, now: Moment) {
+    /// Sets the recovery time at the first job that completes in time.
+    fn record_recovery(&self, now: Moment) {
         if self.recovery_seconds.get() > 0.0 {
             return;
         }
         let time = now.since(Moment::default());
         self.recovery_seconds.set(time.as_secs_f64());
         let after_ms = time.as_millis() as u64;
-        info!(after_ms; "first job in time");
+        info!(after_ms; "first job completed in time");
     }
 
+    /// Returns the metrics in the Prometheus text format.
     pub(super) fn text(&self) -> String {
         registry_text(&self.registry)
     }
--- a/crates/mastknot_entry/src/jobs/job_node.rs
+++ b/crates/mastknot_entry/src/jobs/job_node.rs
@@ -20,41 +20,41 @@
 };
 use super::job_links::listen;
 
-/// What a [`JobNode`] is made of.
+/// Parts from which a [`JobNode`] is started.
 pub struct JobParts {
-    /// How its core is set up.
+    /// Settings of the scheduler.
     pub settings: SchedulerSettings,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Where sides dial it.
+    /// Listener for the links of sides.
     pub links: TcpListener,
-    /// Takes configurations that sides have heard of.
+    /// Receives the configuration documents that arrive from sides.
     pub documents: mpsc::UnboundedSender<ConfigDocument>,
 }
 
-/// A job that a caller hands in.
+/// A job that a caller submits.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The job.
+    /// Job to run.
     pub job: JobRequest,
-    /// What the configuration says of its queue.
+    /// Policy of the job's queue in the configuration.
     pub policy: Arc<QueuePolicy>,
-    /// How long the caller waits.
+    /// Time that the caller waits for the answer.
     pub time_left: Duration,
 }
 
-/// A running entry that spreads the tasks of jobs.
+/// A running entry that places the tasks of jobs on sides.
 #[derive(Clone)]
 pub struct JobNode {
     actor: ActorRef<JobActor>,
     clock: Clock,
     stats: Arc<LinkStats>,
     has_side: watch::Receiver<bool>,
-    keeps_profile: bool,
+    is_profile_synced: bool,
     next_caller: Arc<AtomicU64>,
 }
 
-/// Tells the scheduler when a caller leaves before its answer.
+/// Reports the caller to the scheduler as gone when the value is dropped before the answer.
 struct CallerGuard {
     actor: ActorRef<JobActor>,
     caller: Option<CallerId>,
@@ -70,11 +70,11 @@
 }
 
 impl JobNode {
-    /// Starts it.
+    /// Starts the entry's actor and the listener for the links of sides.
     pub fn start(parts: JobParts) -> Self {
         let stats: Arc<LinkStats> = Arc::default();
         let (has_side_sender, has_side) = watch::channel(false);
-        let keeps_profile = parts.settings.scarcity.profile;
+        let is_profile_synced = parts.settings.scarcity.profile;
         let actor_parts = JobActorParts {
             core: JobScheduler::new(parts.settings),
             clock: parts.clock,
@@ -89,12 +89,14 @@
             clock: parts.clock,
             stats,
             has_side,
-            keeps_profile,
+            is_profile_synced,
             next_caller: Arc::new(AtomicU64::new(1)),
         }
     }
 
-    /// Runs a job; dropping the future gives the job up. None when the entry is ending.
+    /// Runs a job and returns its answer; `None` if the entry is stopping.
+    ///
+    /// Dropping the future abandons the job.
     pub async fn submit(&self, submission: Submission) -> Option<JobAnswer> {
         let caller = CallerId(self.next_caller.fetch_add(1, Ordering::Relaxed));
         let event = SchedulerEvent::Submit {
@@ -128,7 +130,7 @@
             .await;
     }
 
-    /// The entries that are known have changed.
+    /// Replaces the known entries.
     pub async fn set_entries(&self, entries: Vec<KnownEntry>) {
         let _ = self
             .actor
@@ -136,32 +138,35 @@
             .await;
     }
 
-    /// A newer configuration is in force here; sides are told.
+    /// Passes a newer configuration document to the scheduler, which sends it to the sides.
     pub async fn set_document(&self, document: ConfigDocument) {
         let event = SchedulerEvent::Document(document);
         let _ = self.actor.tell(JobInput(event)).await;
     }
 
-    /// The operators' store has these halls as drained; sides are told.
+    /// Passes the drained halls of the operators' store to the scheduler, which sends them to the
+    /// sides.
     pub async fn set_drained_halls(&self, drained: Arc<DrainedHalls>) {
         let event = SchedulerEvent::DrainedHalls(drained);
         let _ = self.actor.tell(JobInput(event)).await;
     }
 
-    /// Keeps what it learns in a store, and takes what others have learned from there.
+    /// Starts the exchange of the learned profile with a store, if the settings enable it: the
+    /// entry writes what it has learned and reads what other entries have learned.
     pub fn sync_learned_profile<S: LastingStore>(&self, store: S, settings: ProfileSettings) {
-        if self.keeps_profile {
+        if self.is_profile_synced {
             tokio::spawn(keep_profile(store, self.clone(), settings));
         }
     }
 
-    /// The operators' store has these weights of halls; sides are told.
+    /// Passes the weights of halls of the operators' store to the scheduler, which sends them to
+    /// the sides.
     pub async fn set_share_weights(&self, weights: Arc<ShareWeights>) {
         let event = SchedulerEvent::ShareWeights(weights);
         let _ = self.actor.tell(JobInput(event)).await;
     }
 
-    /// Jobs of a queue of which nothing has begun.
+    /// Returns the number of jobs of a queue of which no task has started.
     pub async fn pending(&self, queue: &str) -> usize {
         self.actor
             .ask(GetPending(queue.to_owned()))
@@ -169,23 +174,23 @@
             .unwrap_or(0)
     }
 
-    /// What operators may read.
+    /// Returns the figures of the entry that operators read; `None` if the entry has stopped.
     pub async fn report(&self) -> Option<JobReport> {
         self.actor.ask(GetJobReport).await.ok()
     }
 
-    /// All figures in Prometheus' text form.
+    /// Returns all metrics in the Prometheus text format; `None` if the entry has stopped.
     pub async fn metrics_text(&self) -> Option<String> {
         let own = self.actor.ask(GetJobMetrics).await.ok()?;
         Some(self.stats.text() + &own)
     }
 
-    /// Whether a side stands ready for any service.
+    /// Returns whether at least one side is ready, for any service.
     pub fn has_side(&self) -> bool {
         *self.has_side.borrow()
     }
 
-    /// What went over its links.
+    /// Returns the traffic counters of the entry's links.
     pub fn stats(&self) -> &LinkStats {
         &self.stats
     }
--- a/crates/mastknot_entry/src/jobs/mod.rs
+++ b/crates/mastknot_entry/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! The shell of an entry that spreads the tasks of jobs: links to sides, timers, callers.
+//! Input and output of an entry that places the tasks of jobs on sides: links, timers, callers.
 
 mod job_actor;
 mod job_links;
--- a/crates/mastknot_entry/src/lib.rs
+++ b/crates/mastknot_entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry process: callers' HTTP, the operators' resource interface, queues and placement.
+//! Entry process: HTTP interfaces for callers and operators, queues and the placement of tasks.
 //!
 //! This crate has no feature flags.
 
--- a/crates/mastknot_entry/src/link_listener.rs
+++ b/crates/mastknot_entry/src/link_listener.rs
@@ -1,4 +1,4 @@
-//! Taking the links of sides and other entries.
+//! Listener for the links of sides and other entries.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// How long to wait after the operating system gave no connection.
+/// Pause after the operating system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Serves each connection in a task of its own; dropping the future ends them all.
+/// Accepts connections and serves each in a task of its own; dropping the future ends all of the
+/// tasks.
 pub(crate) async fn listen<S, F>(listener: TcpListener, serve: S)
 where
     S: Fn(TcpStream) -> F,
@@ -25,7 +26,7 @@
         let served = serve(stream);
         links.spawn(async move {
             if let Err(error) = served.await {
-                debug!(from:%; "link ended: {error}");
+                debug!(from:%; "accepted link ended: {error}");
             }
         });
         while links.try_join_next().is_some() {}
--- a/crates/mastknot_entry/src/main.rs
+++ b/crates/mastknot_entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `mastknot-entry`: one entry process.
+//! Command line of `mastknot-entry`, which runs one entry process.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,9 +9,9 @@
 use mastknot_runtime::NodeError;
 use mastknot_runtime::{Signals, load_settings, start_logs};
 
-/// The exit code after a stop that cut submissions.
-const EXIT_CUT: u8 = 3;
-/// The exit code for bad settings.
+/// Exit code after a stop that aborted submissions.
+const EXIT_ABORTED: u8 = 3;
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
         .help("Settings file (TOML); see examples/settings/entry.toml")
         .argument::<PathBuf>("FILE");
     let check_settings = long("check-settings")
-        .help("Check the settings file and start nothing")
+        .help("Check the settings file and exit")
         .switch();
     construct!(Options {
         settings,
@@ -34,9 +34,9 @@
     })
     .to_options()
     .version(env!("CARGO_PKG_VERSION"))
-    .descr("Takes jobs and requests from callers, queues and places them")
+    .descr("Accepts jobs and requests from callers, queues them and places their tasks on targets")
     .footer(
-        "Exit codes: 0 stopped by plan, 1 did not start, 2 bad settings, 3 submissions were cut",
+        "Exit codes: 0 stopped as planned, 1 did not start, 2 invalid settings, 3 submissions were aborted",
     )
 }
 
@@ -49,23 +49,27 @@
     let entry = EntryNode::start(file).await?;
     info!(entry = name.as_str(), callers:% = entry.callers_address(), operators:% = entry.operators_address(); "started");
     signals.next().await;
-    info!(entry = name.as_str(); "stopping: leaving the roster, finishing what is in flight");
+    info!(entry = name.as_str(); "stopping: leaving the roster, finishing submissions in flight");
     let report = tokio::select! {
         report = entry.stop() => Some(report),
         _ = signals.next() => None,
     };
     Ok(match report {
-        Some(StopReport { submissions_cut: 0 }) => {
-            info!(entry = name.as_str(); "stopped; nothing was cut");
+        Some(StopReport {
+            aborted_submissions: 0,
+        }) => {
+            info!(entry = name.as_str(); "stopped; no submission was aborted");
             ExitCode::SUCCESS
         }
-        Some(StopReport { submissions_cut }) => {
-            error!(entry = name.as_str(), submissions_cut; "stopped at the deadline; submissions were cut");
-            ExitCode::from(EXIT_CUT)
+        Some(StopReport {
+            aborted_submissions,
+        }) => {
+            error!(entry = name.as_str(), submissions_cut = aborted_submissions; "stopped at the deadline; submissions were aborted");
+            ExitCode::from(EXIT_ABORTED)
         }
         None => {
-            error!(entry = name.as_str(); "ended by a second signal; submissions may have been cut");
-            ExitCode::from(EXIT_CUT)
+            error!(entry = name.as_str(); "ended by a second signal; submissions may have been aborted");
+            ExitCode::from(EXIT_ABORTED)
         }
     })
 }
--- a/crates/mastknot_entry/src/node/entry_node.rs
+++ b/crates/mastknot_entry/src/node/entry_node.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 
 use crate::actor::{EntryActor, EntryParts, GetLive, Input, LiveKind, Shared};
-use crate::callers::{BadInput, CallerApi};
+use crate::callers::{BadInputCounters, CallerApi};
 use crate::operators::OperatorApi;
 use crate::peers::listen;
 use crate::platform::{feed_config, feed_vms};
@@ -21,21 +21,22 @@
 use mastknot_runtime::NodeError;
 use mastknot_runtime::node_context::{ListenSnafu, StartSnafu};
 
-/// Messages that may wait for the actor.
-const MAILBOX: usize = 16_384;
-/// How often counters are sent.
+/// Maximum number of messages that wait in the actor's mailbox.
+const MAILBOX_CAPACITY: usize = 16_384;
+/// Time between two exports of the counters.
 const EXPORT_INTERVAL: Duration = Duration::from_secs(10);
-/// How long the last messages to peers and sides may take to leave the process.
+/// Time that the last messages to peers and sides get to leave the process before it ends.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// How a planned stop ended.
+/// Result of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopReport {
-    /// Submissions that still ran when the process had to end; zero if nothing was cut.
-    pub submissions_cut: usize,
+    /// Number of submissions without an answer at the stop deadline, which were aborted; zero if
+    /// all submissions ended in time.
+    pub aborted_submissions: usize,
 }
 
-/// A running entry.
+/// A running entry that serves callers, operators, sides and peers.
 #[derive(Debug)]
 pub struct EntryNode {
     actor: ActorRef<EntryActor>,
@@ -70,7 +71,13 @@
 }
 
 impl EntryNode {
-    /// Starts an entry; its settings are checked and its listeners bound before anything runs.
+    /// Starts an entry.
+    ///
+    /// The settings are checked and all listeners are bound before the actor and the servers start.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a setting is invalid, an address can't be bound, or a part can't start.
     pub async fn start(file: EntryFile) -> Result<Self, NodeError> {
         file.check()?;
         let listeners = bind_all(&file).await?;
@@ -98,7 +105,7 @@
             shared: Arc::clone(&shared),
             seeds,
         };
-        let mailbox = kameo::mailbox::bounded(MAILBOX);
+        let mailbox = kameo::mailbox::bounded(MAILBOX_CAPACITY);
         let actor = EntryActor::spawn_with_mailbox(parts, mailbox);
         Self::serve(file, listeners, links_address, actor, shared)
     }
@@ -110,7 +117,7 @@
         actor: ActorRef<EntryActor>,
         shared: Arc<Shared>,
     ) -> Result<Self, NodeError> {
-        let bad_input: Arc<BadInput> = Arc::default();
+        let bad_input: Arc<BadInputCounters> = Arc::default();
         let caller_api = CallerApi {
             actor: actor.clone(),
             clock: shared.clock,
@@ -160,28 +167,31 @@
         })
     }
 
-    /// Where callers connect.
+    /// Returns the address at which callers connect.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where operators connect.
+    /// Returns the address at which operators connect.
     pub fn operators_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Where counters are read.
+    /// Returns the address of the HTTP server that serves the counters.
     pub fn metrics_address(&self) -> SocketAddr {
         self.metrics.address()
     }
 
-    /// Where sides and peers connect.
+    /// Returns the address at which sides and peers connect.
     pub fn links_address(&self) -> SocketAddr {
         self.links_address
     }
 
-    /// Ends by plan: leaves the roster, finishes what is in flight, hands the ledger over, and
-    /// ends; at the deadline it ends all the same and says what was cut.
+    /// Stops the entry as planned: leaves the roster, finishes the submissions in flight, hands the
+    /// ledger over, and ends.
+    ///
+    /// At the stop deadline of the settings the entry ends in any case, and the report holds the
+    /// number of aborted submissions.
     pub async fn stop(self) -> StopReport {
         let _ = self.actor.tell(Input(EntryEvent::Stop)).await;
         let mut stopped = self.shared.stopped.subscribe();
@@ -189,8 +199,8 @@
         let in_time = tokio::time::timeout(self.stop_deadline, finished).await;
         let is_in_time = in_time.is_ok();
         drop(in_time);
-        let submissions_cut = if is_in_time { 0 } else { self.active().await };
-        // Answers of the core are in the hands of the HTTP servers, which finish them.
+        let aborted_submissions = if is_in_time { 0 } else { self.active().await };
+        // The core has passed its last answers to the HTTP servers, which still have to send them.
         let servers = async {
             tokio::join!(
                 self.callers.stop(),
@@ -204,17 +214,19 @@
         tasks.abort_all();
         self.actor.kill();
         self.actor.wait_for_shutdown().await;
-        StopReport { submissions_cut }
+        StopReport {
+            aborted_submissions,
+        }
     }
 
-    /// Submissions without an answer.
+    /// Returns the number of submissions without an answer.
     async fn active(&self) -> usize {
         let counters = self.actor.ask(GetLive(LiveKind::Counters)).await;
         let active = counters.map(|live| live.0["now"]["active"].as_u64());
         active.ok().flatten().unwrap_or(0) as usize
     }
 
-    /// Ends at once, as a crash would.
+    /// Ends the entry at once, without a planned stop, as a crash would.
     pub async fn abort(mut self) {
         self.callers.abort();
         self.operators.abort();
--- a/crates/mastknot_entry/src/node/mod.rs
+++ b/crates/mastknot_entry/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! An entry as a part of a process.
+//! An entry that runs inside a process: its actor, HTTP servers and feeds.
 
 mod entry_node;
 
--- a/crates/mastknot_entry/src/operators/mod.rs
+++ b/crates/mastknot_entry/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' resource interface over HTTP.
+//! HTTP interface for operators: resources, live state and watches.
 
 mod operator_api;
 mod resource;
--- a/crates/mastknot_entry/src/operators/operator_api.rs
+++ b/crates/mastknot_entry/src/operators/operator_api.rs
@@ -17,20 +17,20 @@
 use crate::actor::{
     EntryActor, Explain, GetItem, GetLive, Input, Items, ListItems, Live, LiveKind, Shared,
 };
-use crate::callers::BadInput;
+use crate::callers::BadInputCounters;
 use crate::platform::{WriteOutcome, write_resource};
 
-/// The longest body of an operator.
-const MAX_BODY: usize = 256 * 1024;
-/// How long a body may take to arrive.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Maximum size of the body of an operator's request, in bytes.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+/// Maximum time until the whole body of a request has arrived.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers operators.
+/// HTTP interface for operators.
 #[derive(Clone)]
 pub(crate) struct OperatorApi {
     pub(crate) actor: ActorRef<EntryActor>,
     pub(crate) shared: Arc<Shared>,
-    pub(crate) bad_input: Arc<BadInput>,
+    pub(crate) bad_input: Arc<BadInputCounters>,
 }
 
 impl OperatorApi {
@@ -49,7 +49,7 @@
             (&Method::GET, ["v1", "explain", key]) => self.explain(key).await,
             (&Method::POST, ["v1", "targets", name, "drain"]) => self.drain(name).await,
             (&Method::GET, ["health"]) => empty_response(StatusCode::OK),
-            _ => error(
+            _ => error_response(
                 StatusCode::NOT_FOUND,
                 "unknown_path",
                 "unknown path; see docs/operators/resources.md",
@@ -57,19 +57,19 @@
         }
     }
 
-    /// Answers those who read counters.
+    /// Answers requests to the metrics server.
     pub(crate) async fn metrics(self, request: Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             "/metrics" => match self.counters().await {
                 Some(counters) => json_response(StatusCode::OK, &counters),
-                None => ending(),
+                None => stopping_response(),
             },
             "/health" => empty_response(StatusCode::OK),
             _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
-    /// All counters of this entry.
+    /// Returns all counters of this entry; `None` if the entry has stopped.
     pub(crate) async fn counters(&self) -> Option<Value> {
         let Live(mut counters) = self.actor.ask(GetLive(LiveKind::Counters)).await.ok()?;
         let read = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
@@ -102,7 +102,7 @@
             after: 0,
         };
         let Ok(Items { version, items }) = self.actor.ask(list).await else {
-            return ending();
+            return stopping_response();
         };
         let items: Vec<Resource> = items.iter().map(Resource::from).collect();
         let body = json!({ "version": version, "items": items });
@@ -112,13 +112,13 @@
     async fn get(&self, kind: &str, name: &str) -> Response<ResponseBody> {
         let get = GetItem(ResourceName::new(kind, name));
         let Ok(Items { items, .. }) = self.actor.ask(get).await else {
-            return ending();
+            return stopping_response();
         };
         match items.first().filter(|item| item.value.is_some()) {
             Some(item) => json_response(StatusCode::OK, &Resource::from(item)),
             None => {
-                let problem = format!("no {kind} is named {name:?}");
-                error(StatusCode::NOT_FOUND, "not_found", &problem)
+                let problem = format!("no {kind} with the name {name:?} exists");
+                error_response(StatusCode::NOT_FOUND, "not_found", &problem)
             }
         }
     }
@@ -129,25 +129,25 @@
         name: &str,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
-        let body = read_body(request.into_body(), MAX_BODY, BODY_TIME).await;
+        let body = read_body(request.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
         let bytes = match body {
             Ok(bytes) => bytes,
             Err(problem) => {
-                return error(StatusCode::BAD_REQUEST, "bad_body", &problem.to_string());
+                return error_response(StatusCode::BAD_REQUEST, "bad_body", &problem.to_string());
             }
         };
         let resource: Resource = match serde_json::from_slice(&bytes) {
             Ok(resource) => resource,
             Err(problem) => {
-                return error(StatusCode::BAD_REQUEST, "malformed", &problem.to_string());
+                return error_response(StatusCode::BAD_REQUEST, "malformed", &problem.to_string());
             }
         };
         if resource.kind != kind || resource.name != name {
-            let problem = "kind and name differ from those of the path";
-            return error(StatusCode::BAD_REQUEST, "malformed", problem);
+            let problem = "`kind` and `name` must equal those of the path";
+            return error_response(StatusCode::BAD_REQUEST, "malformed", problem);
         }
         if let Err(problem) = check_resource(&resource) {
-            return error(StatusCode::BAD_REQUEST, "not_allowed", &problem.to_string());
+            return error_response(StatusCode::BAD_REQUEST, "not_allowed", &problem.to_string());
         }
         self.write(kind, name, resource.version, resource.value)
             .await
@@ -155,7 +155,7 @@
 
     async fn delete(&self, kind: &str, name: &str, version: u64) -> Response<ResponseBody> {
         if let Err(problem) = check_name(kind, name) {
-            return error(StatusCode::BAD_REQUEST, "not_allowed", &problem.to_string());
+            return error_response(StatusCode::BAD_REQUEST, "not_allowed", &problem.to_string());
         }
         self.write(kind, name, version, None).await
     }
@@ -187,7 +187,7 @@
                 let version = found.as_ref().map_or(0, |(version, _)| *version);
                 let body = json!({
                     "error": "conflict",
-                    "problem": "it is at another version: read it again and decide again",
+                    "problem": "the resource is at another version: read it again before writing",
                     "expected_version": expected,
                     "current_version": if is_live { version } else { 0 },
                     "changed": changed_fields(current, value.as_ref()),
@@ -195,12 +195,12 @@
                 });
                 json_response(StatusCode::CONFLICT, &body)
             }
-            WriteOutcome::Undecided => error(
+            WriteOutcome::Undecided => error_response(
                 StatusCode::GATEWAY_TIMEOUT,
                 "undecided",
-                "the store has not said whether the write took effect: read before writing again",
+                "the store has not confirmed whether the write took effect: read before writing again",
             ),
-            WriteOutcome::StoreDown => error(
+            WriteOutcome::StoreDown => error_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "store_down",
                 "nothing was written: the store does not answer",
@@ -220,11 +220,11 @@
             },
             _ => {
                 let problem = "the live kinds are jobs, targets, entries, decisions, status";
-                return error(StatusCode::NOT_FOUND, "unknown_kind", problem);
+                return error_response(StatusCode::NOT_FOUND, "unknown_kind", problem);
             }
         };
         let Ok(Live(found)) = self.actor.ask(GetLive(kind)).await else {
-            return ending();
+            return stopping_response();
         };
         let is_watch = parts.query("watch") == Some("true");
         if let (true, LiveKind::Decisions { after }) = (is_watch, kind) {
@@ -242,12 +242,12 @@
             Ok(key) => key,
             Err(problem) => {
                 let problem: mastknot_core::types::KeyError = problem;
-                return error(StatusCode::BAD_REQUEST, "malformed", &problem.to_string());
+                return error_response(StatusCode::BAD_REQUEST, "malformed", &problem.to_string());
             }
         };
         match self.actor.ask(Explain(key)).await {
             Ok(Live(found)) => json_response(StatusCode::OK, &found),
-            Err(_) => ending(),
+            Err(_) => stopping_response(),
         }
     }
 
@@ -261,23 +261,26 @@
     }
 }
 
-fn error(status: StatusCode, code: &str, problem: &str) -> Response<ResponseBody> {
+fn error_response(status: StatusCode, code: &str, problem: &str) -> Response<ResponseBody> {
     json_response(status, &json!({ "error": code, "problem": problem }))
 }
 
+/// Returns the response to a watch from a version that can't be resumed; `oldest` is a version from
+/// which a watch can start.
 fn too_old(oldest: u64) -> Response<ResponseBody> {
     let body = json!({
         "error": "too_old",
-        "problem": "this version can't be resumed from: list again",
+        "problem": "the watch can't resume from this version: list again",
         "oldest": oldest,
     });
     json_response(StatusCode::GONE, &body)
 }
 
-fn ending() -> Response<ResponseBody> {
-    error(
+/// Returns the response of an entry that is stopping.
+fn stopping_response() -> Response<ResponseBody> {
+    error_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "stopping",
-        "the entry is ending",
+        "the entry is stopping",
     )
 }
--- a/crates/mastknot_entry/src/operators/resource.rs
+++ b/crates/mastknot_entry/src/operators/resource.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// The kinds of stored resources.
+/// Kinds of stored resources.
 pub(crate) const KINDS: [&str; 6] = [
     "service",
     "team",
@@ -15,21 +15,22 @@
     DRAINED_HALL_KIND,
     HALL_SHARE_KIND,
 ];
-/// The longest name of a resource.
-const MAX_NAME: usize = 128;
-/// The longest value of a resource as JSON, well below the store's limit of one megabyte.
+/// Maximum length of a resource's name, in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Maximum size of a resource's value as JSON, in bytes; well below the store's limit of one
+/// megabyte.
 const MAX_VALUE_BYTES: usize = 65_536;
 
-/// A resource as operators read and write it.
+/// A stored resource in the form that operators read and write.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Resource {
     pub(crate) kind: String,
     pub(crate) name: String,
-    /// The version it had when it was read; zero for one that must not exist yet.
+    /// Version at which the resource was read; zero for a resource that must not exist yet.
     #[serde(default)]
     pub(crate) version: u64,
-    /// Its value; none when it was deleted.
+    /// Value of the resource; `None` if the resource was deleted.
     #[serde(default)]
     pub(crate) value: Option<Value>,
 }
@@ -46,20 +47,20 @@
     }
 }
 
-/// What is wrong with a resource that an operator wrote.
+/// Error in a resource that an operator writes.
 #[derive(Debug, Snafu)]
 pub(crate) enum BadResource {
     /// The kind does not exist.
     #[snafu(display("unknown kind {kind:?}; the kinds are {}", KINDS.join(", ")))]
     Kind { kind: String },
-    /// The name can't be used.
-    #[snafu(display("the name must have 1 to {MAX_NAME} bytes and no `/`"))]
+    /// The name is empty, too long, or contains a `/`.
+    #[snafu(display("the name must have 1 to {MAX_NAME_BYTES} bytes and no `/`"))]
     Name,
     /// The value is missing.
     #[snafu(display("`value` is missing"))]
     ValueMissing,
     /// The value is too long.
-    #[snafu(display("`value` has {length} bytes, allowed are {MAX_VALUE_BYTES}"))]
+    #[snafu(display("`value` has {length} bytes, at most {MAX_VALUE_BYTES} are allowed"))]
     TooLong { length: usize },
     /// A field is unknown, missing or of the wrong type.
     #[snafu(display("`value`: {source}"))]
@@ -73,6 +74,7 @@
     },
 }
 
+/// Returns a range error for the field unless `is_good` is true.
 fn check(
     field: &'static str,
     value: impl ToString,
@@ -87,15 +89,15 @@
     })
 }
 
-/// Checks a kind and a name.
+/// Checks that a kind exists and that a name is allowed.
 pub(crate) fn check_name(kind: &str, name: &str) -> Result<(), BadResource> {
     let is_known = KINDS.contains(&kind);
     is_known.then_some(()).context(KindSnafu { kind })?;
-    let is_good = (1..=MAX_NAME).contains(&name.len()) && !name.contains('/');
+    let is_good = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains('/');
     is_good.then_some(()).context(NameSnafu)
 }
 
-/// Checks a resource whole.
+/// Checks the kind, name and value of a resource.
 pub(crate) fn check_resource(resource: &Resource) -> Result<(), BadResource> {
     check_name(&resource.kind, &resource.name)?;
     let value = resource.value.as_ref().context(ValueMissingSnafu)?;
@@ -196,7 +198,8 @@
     check("hedge_after_percent", hedge, "0, or 100 to 10000", is_good)
 }
 
-/// The fields whose values differ between two resources, as JSON pointers.
+/// Returns the fields whose values differ between two resources, as JSON pointers; `/` if one of
+/// them is not an object.
 pub(crate) fn changed_fields(before: Option<&Value>, after: Option<&Value>) -> Vec<String> {
     let (Some(Value::Object(before)), Some(Value::Object(after))) = (before, after) else {
         return vec!["/".to_owned()];
--- a/crates/mastknot_entry/src/operators/watches.rs
+++ b/crates/mastknot_entry/src/operators/watches.rs
@@ -1,4 +1,4 @@
-//! Watches: lines of JSON that go on as things change.
+//! Watches: streams of JSON lines, one line for each change.
 
 use std::time::Duration;
 
@@ -11,10 +11,11 @@
 use super::resource::Resource;
 use crate::actor::{EntryActor, GetLive, Items, ListItems, Live, LiveKind};
 
-/// A watch without changes sends a bookmark this often, so that its reader knows that it lives.
+/// Time without changes after which a watch sends a bookmark, so that its reader knows that the
+/// watch is alive.
 const BOOKMARK_INTERVAL: Duration = Duration::from_secs(10);
-/// How often live resources are looked at for a watch.
-const LIVE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two reads of the decisions for a watch.
+const DECISION_INTERVAL: Duration = Duration::from_millis(200);
 
 fn line(value: &Value) -> Bytes {
     let mut text = value.to_string();
@@ -22,14 +23,16 @@
     Bytes::from(text)
 }
 
+/// State of one watch of stored resources.
 struct StoredWatch {
     actor: ActorRef<EntryActor>,
     versions: watch::Receiver<u64>,
     kind: String,
+    /// Last version that was sent to the reader.
     after: u64,
 }
 
-/// The changes of stored resources after a version, then each further one.
+/// Streams the changes of stored resources after a version, then each further change.
 pub(crate) fn watch_stored(
     actor: ActorRef<EntryActor>,
     versions: watch::Receiver<u64>,
@@ -49,6 +52,8 @@
 }
 
 impl StoredWatch {
+    /// Waits for the next changes and returns their lines with a bookmark, or a bookmark alone
+    /// after [`BOOKMARK_INTERVAL`]; `None` if the entry has stopped.
     async fn next_lines(&mut self) -> Option<Bytes> {
         loop {
             self.versions.mark_unchanged();
@@ -85,7 +90,7 @@
     line(&json!({ "type": kind, "object": Resource::from(item) }))
 }
 
-/// The decisions after a number, then each further one.
+/// Streams the decisions after a number, then each further decision.
 pub(crate) fn watch_decisions(
     actor: ActorRef<EntryActor>,
     after: u64,
@@ -102,7 +107,7 @@
                 let lines: Vec<Bytes> = decisions.iter().map(line).collect();
                 return Some((Bytes::from(lines.concat()), (actor, last)));
             }
-            tokio::time::sleep(LIVE_INTERVAL).await;
+            tokio::time::sleep(DECISION_INTERVAL).await;
         }
     })
 }
--- a/crates/mastknot_entry/src/peers/dialing.rs
+++ b/crates/mastknot_entry/src/peers/dialing.rs
@@ -13,14 +13,15 @@
 use super::serving::serve_peer;
 use crate::actor::{EntryActor, Input};
 
-/// The longest that dialing may take.
-const DIAL_LIMIT: Duration = Duration::from_secs(1);
-/// The pause between two dials, before jitter.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Maximum time of one attempt to connect to a peer.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between two attempts, before jitter.
+const REDIAL_PAUSE: Duration = Duration::from_millis(300);
 
-/// Keeps a link to a peer as long as the actor lives.
+/// Keeps a link to the peer at `address` as long as the actor runs.
 ///
-/// A refused connection proves that the run of the peer that the roster names there is dead.
+/// A refused connection proves that the `expected` incarnation, which the roster lists at the
+/// address, has ended; the actor is informed.
 pub(crate) async fn keep_dialing(
     actor: ActorRef<EntryActor>,
     address: SocketAddr,
@@ -28,7 +29,7 @@
     stats: Arc<LinkStats>,
 ) {
     while actor.is_alive() {
-        let dialed = connect(address, LinkKind::Peer, DIAL_LIMIT, Arc::clone(&stats)).await;
+        let dialed = connect(address, LinkKind::Peer, DIAL_TIMEOUT, Arc::clone(&stats)).await;
         let ended = match dialed {
             Ok(link) => serve_peer(&actor, link).await,
             Err(error) => {
@@ -40,9 +41,9 @@
             }
         };
         if let Err(error) = ended {
-            debug!(peer:% = address; "link ended: {error}");
+            debug!(peer:% = address; "link to a peer ended: {error}");
         }
-        let pause = PAUSE.mul_f64(rand::rng().random_range(0.5..1.5));
+        let pause = REDIAL_PAUSE.mul_f64(rand::rng().random_range(0.5..1.5));
         tokio::time::sleep(pause).await;
     }
 }
--- a/crates/mastknot_entry/src/peers/listening.rs
+++ b/crates/mastknot_entry/src/peers/listening.rs
@@ -8,7 +8,7 @@
 use crate::actor::EntryActor;
 use crate::link_listener;
 
-/// Takes the links of sides and peers as long as the actor lives.
+/// Accepts and serves the links of sides and peers until the future is dropped.
 pub(crate) async fn listen(
     listener: TcpListener,
     actor: ActorRef<EntryActor>,
@@ -28,7 +28,8 @@
     match accept(stream, stats).await? {
         Accepted::Side(link) => serve_side(&actor, link).await,
         Accepted::Peer(link) => serve_peer(&actor, link).await,
-        // This entry runs whole submissions on slots; it has no sized tasks.
+        // This entry places tasks on slots and does not serve agents, which run tasks of known
+        // size.
         Accepted::Agent(_) => Ok(()),
     }
 }
--- a/crates/mastknot_entry/src/peers/mod.rs
+++ b/crates/mastknot_entry/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Links to sides and peers.
+//! Links of an entry to sides and peers.
 
 mod dialing;
 mod listening;
--- a/crates/mastknot_entry/src/peers/serving.rs
+++ b/crates/mastknot_entry/src/peers/serving.rs
@@ -5,26 +5,28 @@
 use mastknot_core::roster::Member;
 use mastknot_wire::{Link, LinkError};
 
-use crate::actor::{Ask, EntryActor, FromPeer, FromSide, LinkDown, PeerUp, SideUp};
+use crate::actor::{EntryActor, FromPeer, FromSide, GetHello, LinkDown, PeerUp, SideUp};
 
+/// Identifier of the next link of this process.
 static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
 
-/// What an entry says of itself on a new link.
+/// Description of this entry that is sent at the start of a link.
 #[derive(Clone, Debug, kameo::Reply)]
 pub(crate) struct Hello {
     pub(crate) member: Member,
     pub(crate) roster_version: u64,
     pub(crate) config_version: u64,
+    /// Addresses of all entries, this one included.
     pub(crate) entries: Vec<String>,
 }
 
-/// Serves the link to a side until it ends.
+/// Serves the link to a side until the link closes.
 pub(crate) async fn serve_side(
     actor: &ActorRef<EntryActor>,
     mut link: Link<EntryMessage, SideMessage>,
 ) -> Result<(), LinkError> {
     let id = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
-    let Ok(me) = actor.ask(Ask).await else {
+    let Ok(me) = actor.ask(GetHello).await else {
         return Ok(());
     };
     link.sender.send(EntryMessage::Welcome {
@@ -67,13 +69,13 @@
     result
 }
 
-/// Serves the link to a peer until it ends.
+/// Serves the link to a peer until the link closes.
 pub(crate) async fn serve_peer(
     actor: &ActorRef<EntryActor>,
     mut link: Link<PeerMessage, PeerMessage>,
 ) -> Result<(), LinkError> {
     let id = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
-    let Ok(me) = actor.ask(Ask).await else {
+    let Ok(me) = actor.ask(GetHello).await else {
         return Ok(());
     };
     link.sender.send(PeerMessage::Hello {
--- a/crates/mastknot_entry/src/platform/config_feed.rs
+++ b/crates/mastknot_entry/src/platform/config_feed.rs
@@ -12,21 +12,23 @@
 
 use crate::actor::{EntryActor, Input, Shared};
 
-/// The store's keys of the configuration start with this.
+/// Prefix of the configuration's keys in the store.
 pub(crate) const CONFIG_PREFIX: &str = "/mastknot/config/";
-/// How often it is checked whether a watch has skipped something.
+/// Time without an event after which the feed checks whether the watch has skipped a change.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The pause after a failed call, before jitter.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Pause after a failed call, before jitter.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Feeds the configuration from the store to the actor: a consistent read, then a watch, and a
-/// check each second that the watch has not skipped anything.
+/// Passes the configuration from the store to the actor: a consistent read, then a watch.
+///
+/// While the watch has no events, the feed checks each second that the watch has not skipped a
+/// change.
 pub(crate) async fn feed_config(shared: Arc<Shared>, actor: ActorRef<EntryActor>) {
     while actor.is_alive() {
         if let Err(error) = read_and_watch(&shared, &actor).await {
-            debug!("configuration feed: {error}");
+            debug!("configuration feed failed: {error}");
         }
-        let pause = PAUSE.mul_f64(rand::rng().random_range(0.5..1.5));
+        let pause = RETRY_PAUSE.mul_f64(rand::rng().random_range(0.5..1.5));
         tokio::time::sleep(pause).await;
     }
 }
@@ -48,12 +50,14 @@
     loop {
         let event = tokio::time::timeout(CHECK_INTERVAL, watch.next()).await;
         match event {
-            Ok(Ok(Some(event))) => known = pass_on(actor, known, event).await,
+            Ok(Ok(Some(event))) => known = forward_changes(actor, known, event).await,
             Ok(Ok(None)) => return Ok(()),
             Ok(Err(error)) => return Err(error),
             Err(_) => {
                 if has_skipped(shared, &mut watch, known).await? {
-                    info!("a watch has skipped a change: reading again");
+                    info!(
+                        "the configuration watch has skipped a change: reading the configuration again"
+                    );
                     return Ok(());
                 }
             }
@@ -61,7 +65,7 @@
     }
 }
 
-/// Whether the store holds something newer than the watch has told.
+/// Returns whether the store holds a newer change than the watch has sent.
 async fn has_skipped(
     shared: &Shared,
     _watch: &mut StoreWatch,
@@ -72,7 +76,9 @@
     Ok(newest > known)
 }
 
-async fn pass_on(actor: &ActorRef<EntryActor>, known: u64, event: WatchEvent) -> u64 {
+/// Passes the changes of a watch event to the actor and returns the newest version that the actor
+/// has.
+async fn forward_changes(actor: &ActorRef<EntryActor>, known: u64, event: WatchEvent) -> u64 {
     let values: Vec<StoredValue> = event.items.into_iter().map(value_of).collect();
     let latest = latest_by_key(&values);
     let items: Vec<ConfigItem> = latest.into_values().filter_map(to_item).collect();
@@ -108,7 +114,9 @@
     latest
 }
 
-/// A stored resource as a node holds it; a malformed one counts as deleted and is logged.
+/// Converts a stored resource into an item of the configuration.
+///
+/// A malformed resource is logged and counts as deleted. Returns `None` for a key of another form.
 fn to_item(stored: &StoredValue) -> Option<ConfigItem> {
     let name = stored.key.strip_prefix(CONFIG_PREFIX)?;
     let (kind, name) = name.split_once('/')?;
--- a/crates/mastknot_entry/src/platform/mod.rs
+++ b/crates/mastknot_entry/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's store and VM list, as an entry uses them.
+//! Access of an entry to the platform's store and VM list.
 
 mod config_feed;
 mod resource_writer;
--- a/crates/mastknot_entry/src/platform/resource_writer.rs
+++ b/crates/mastknot_entry/src/platform/resource_writer.rs
@@ -7,25 +7,26 @@
 
 use super::CONFIG_PREFIX;
 
-/// Calls that one write makes at most before it is reported as undecided.
+/// Maximum number of calls of one write before it is reported as undecided.
 const MAX_CALLS: usize = 20;
-/// The pause after a call without an answer.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Pause after a call without an answer.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How an operator's write ended.
+/// Outcome of an operator's write.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum WriteOutcome {
-    /// It took effect at this revision, for certain.
+    /// The write has certainly taken effect, at this revision.
     Accepted(u64),
-    /// Another write came first; what stands now.
+    /// The resource was at another version; holds the current revision and resource, if any.
     Conflict(Option<(u64, StoredResource)>),
-    /// It may have taken effect, or may yet.
+    /// The write may have taken effect, or may still take effect.
     Undecided,
-    /// Nothing was written: the store could not be read.
+    /// The store could not be read, so no write was sent.
     StoreDown,
 }
 
-/// Writes a resource that must be at version `expected` (zero: must not exist).
+/// Writes a resource that must be at version `expected`; zero means that the resource must not
+/// exist.
 pub(crate) async fn write_resource(
     store: &StoreClient,
     kind: &str,
@@ -53,8 +54,8 @@
             WriteStep::ReadBack => match read(store, &key).await {
                 Ok(found) => write.on_read_back(found),
                 Err(error) => {
-                    info!(key = key.as_str(); "read-back has no answer yet: {error}");
-                    tokio::time::sleep(PAUSE).await;
+                    info!(key = key.as_str(); "no answer to the read that verifies a write: {error}");
+                    tokio::time::sleep(RETRY_PAUSE).await;
                     WriteStep::ReadBack
                 }
             },
@@ -70,6 +71,7 @@
     }
 }
 
+/// Returns the revision and the nonce of the stored resource; revision zero if there is none.
 fn base_of(current: &Option<(u64, StoredResource)>) -> (u64, Option<String>) {
     match current {
         Some((revision, resource)) => (*revision, Some(resource.nonce.clone())),
@@ -77,7 +79,8 @@
     }
 }
 
-/// The version as operators see it: a deleted resource has none.
+/// Returns the version that operators see; zero for a resource that is deleted or was never
+/// written.
 fn live_version(current: &Option<(u64, StoredResource)>) -> u64 {
     match current {
         Some((revision, resource)) if resource.value.is_some() => *revision,
--- a/crates/mastknot_entry/src/platform/roster_store.rs
+++ b/crates/mastknot_entry/src/platform/roster_store.rs
@@ -9,10 +9,10 @@
 
 use crate::actor::{EntryActor, Input, Shared};
 
-/// The store's key of the roster.
+/// Key of the roster in the store.
 const ROSTER_KEY: &str = "/mastknot/roster";
 
-/// Reads the roster, consistently, and tells the actor.
+/// Reads the roster with a consistent read and passes the result to the actor.
 pub(crate) async fn read_roster(shared: Arc<Shared>, actor: ActorRef<EntryActor>, sent_at: Moment) {
     let reason = StoreReason::RenewAuthority;
     let event = match shared.store.get(reason, ROSTER_KEY).await {
@@ -36,8 +36,10 @@
     Ok((stored.revision, roster))
 }
 
-/// Writes the roster by compare-and-swap. Without an answer nothing is told: the core sends the
-/// write again until the store has decided one copy of it.
+/// Writes the roster by compare-and-swap and passes the store's decision to the actor.
+///
+/// Without an answer of the store the actor receives no message: the core sends the same write
+/// again until the store has decided one of the attempts.
 pub(crate) async fn write_roster(
     shared: Arc<Shared>,
     actor: ActorRef<EntryActor>,
--- a/crates/mastknot_entry/src/settings/entry_file.rs
+++ b/crates/mastknot_entry/src/settings/entry_file.rs
@@ -10,64 +10,65 @@
 };
 use serde::Deserialize;
 
-/// The settings of one entry, as its TOML file has them.
+/// Settings of one entry, in the form of its TOML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryFile {
-    /// The entry's name, unique among entries.
+    /// Name of the entry, unique among entries.
     pub name: String,
-    /// The hall it stands in.
+    /// Hall in which the entry runs.
     pub hall: String,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers_listen: String,
-    /// Where operators connect.
+    /// Listen address for operators.
     pub operators_listen: String,
-    /// Where counters are read over HTTP.
+    /// Listen address of the HTTP server that serves the counters.
     pub metrics_listen: String,
-    /// Where sides and peers connect.
+    /// Listen address for sides and peers.
     pub links_listen: String,
-    /// The address under which sides and peers reach this entry; `links_listen` if not set.
+    /// Address under which sides and peers reach this entry; the bound address of `links_listen` if
+    /// not set.
     #[serde(default)]
     pub links_address: Option<String>,
-    /// The platform's key-value service.
+    /// Address of the platform's key-value store.
     pub store: String,
-    /// The platform's VM list.
+    /// Address of the platform's VM list; the list is not read if not set.
     #[serde(default)]
     pub vm_list: Option<String>,
-    /// Addresses of other entries, for a start while the store is down.
+    /// Addresses of other entries, which allow a start while the store is down.
     #[serde(default)]
     pub peers: Vec<String>,
-    /// Where counters are sent as StatsD packets.
+    /// Address to which counters are sent as StatsD packets; none are sent if not set.
     #[serde(default)]
     pub statsd: Option<String>,
-    /// The policy's weights until the operators set others: `kalahari` or `co-op`.
+    /// Built-in policy profile that applies until operators store another: `kalahari` or `co-op`.
     #[serde(default = "default_profile")]
     pub profile: String,
-    /// Tasks that may wait here.
+    /// Maximum number of tasks that wait at this entry.
     #[serde(default = "default_max_waiting")]
     pub max_waiting: u32,
-    /// The longest body of a caller, in bytes.
+    /// Maximum size of the body of a caller's request, in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: usize,
-    /// Bytes of answers that are kept for resubmissions.
+    /// Maximum total size of the answers that are kept for resubmissions, in bytes.
     #[serde(default = "default_answer_bytes")]
     pub answer_bytes: usize,
-    /// Submissions that are kept.
+    /// Maximum number of submissions that the ledger keeps.
     #[serde(default = "default_max_records")]
     pub max_records: usize,
-    /// How old a caller's key may be, in seconds.
+    /// Maximum age of a caller's key, in seconds.
     #[serde(default = "default_max_key_age_s")]
     pub max_key_age_s: u64,
-    /// The most that two wall clocks differ, callers' included, in milliseconds.
+    /// Maximum difference between two wall clocks, those of callers included, in milliseconds.
     #[serde(default = "default_max_clock_skew_ms")]
     pub max_clock_skew_ms: u64,
-    /// How long a call to the store may take, in milliseconds.
+    /// Maximum time of a call to the store, in milliseconds.
     #[serde(default = "default_store_limit_ms")]
     pub store_limit_ms: u64,
-    /// How long a planned stop may take, in milliseconds.
+    /// Maximum time of a planned stop, in milliseconds.
     #[serde(default = "default_stop_deadline_ms")]
     pub stop_deadline_ms: u64,
-    /// Logs.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -144,7 +145,8 @@
 }
 
 impl EntryFile {
-    /// The settings of the core for one run of the process that is reached at `address`.
+    /// Returns the settings of the core for one incarnation of the process, which other nodes reach
+    /// at `address`.
     pub fn core_settings(&self, incarnation: Incarnation, address: String) -> EntrySettings {
         let me = Member {
             id: MemberId {
--- a/crates/mastknot_entry/src/settings/mod.rs
+++ b/crates/mastknot_entry/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of `mastknot-entry`.
+//! Settings file of `mastknot-entry`.
 
 mod entry_file;
 
--- a/crates/mastknot_side/src/actor/side_actor.rs
+++ b/crates/mastknot_side/src/actor/side_actor.rs
@@ -24,8 +24,8 @@
     sender: LinkSender<SideMessage>,
 }
 
-/// HTTP path of a service with the configuration version from which the path was read; `None` if that
-/// version does not define the service.
+/// HTTP path of a service with the configuration version from which the path was read; `None` if
+/// that version does not define the service.
 struct KnownPath {
     version: u64,
     path: Option<Arc<str>>,
@@ -48,8 +48,8 @@
     ticker: Ticker,
     links: HashMap<NodeName, EntryLink>,
     dialed: HashSet<SocketAddr>,
-    /// Tasks that dial entries. They end with the actor, because a `JoinSet` aborts its tasks when it is
-    /// dropped.
+    /// Tasks that dial entries. They end with the actor, because a `JoinSet` aborts its tasks when
+    /// it is dropped.
     dialing: JoinSet<()>,
     tasks: HashMap<TaskId, JoinHandle<()>>,
     paths: HashMap<NodeName, KnownPath>,
@@ -258,7 +258,8 @@
         }
     }
 
-    /// Returns the HTTP path of a service, which is read again when the configuration version changes.
+    /// Returns the HTTP path of a service, which is read again when the configuration version
+    /// changes.
     fn path(&mut self, service: &NodeName) -> Option<Arc<str>> {
         let config = self.parts.core.config();
         let version = config.version();
--- a/crates/mastknot_side/src/agent/agent_dialing.rs
+++ b/crates/mastknot_side/src/agent/agent_dialing.rs
@@ -28,8 +28,8 @@
 
 /// Keeps a link to the entry at `address` for as long as the actor runs and `is_known` holds true.
 ///
-/// The entry is first dialed after `first_pause`. An open link is served until it closes, even if the
-/// entry is no longer known.
+/// The entry is first dialed after `first_pause`. An open link is served until it closes, even if
+/// the entry is no longer known.
 pub(super) async fn keep_dialing<P: TargetPort>(
     actor: ActorRef<AgentActor<P>>,
     clock: Clock,
--- a/crates/mastknot_side/src/agent/agent_logs.rs
+++ b/crates/mastknot_side/src/agent/agent_logs.rs
@@ -10,7 +10,8 @@
 /// likely causes of a crash.
 const MAX_NAMED: usize = 8;
 
-/// Writes the log line of a decision; some frequent decisions are not logged or only at debug level.
+/// Writes the log line of a decision; some frequent decisions are not logged or only at debug
+/// level.
 pub(super) fn log_decision(decision: &AgentDecision) {
     match decision {
         AgentDecision::TurnedAway {
@@ -103,8 +104,8 @@
     }
 }
 
-/// Logs an unanswered stop if the number of times that it was sent is a power of two, which bounds the
-/// number of lines. The metrics count every one.
+/// Logs an unanswered stop if the number of times that it was sent is a power of two, which bounds
+/// the number of lines. The metrics count every one.
 fn log_unanswered_stop(run: &mastknot_core::job::RunId, times: u32, since_ms: u64) {
     if times.is_power_of_two() {
         warn!(target: DECISION, run:%, times, since_ms; "stop_unanswered");
@@ -113,7 +114,7 @@
 
 /// Logs the end of a run that did not succeed.
 ///
-/// Successful runs are by far the most; the entry's line of the job's answer covers them.
+/// Most runs are successful, and the entry logs the answers of their jobs.
 fn log_end(run: &mastknot_core::job::RunId, end: EndOfRun, ran_ms: u32) {
     if end != EndOfRun::Done {
         info!(target: DECISION, run:%, end:?, ran_ms; "run_ended");
--- a/crates/mastknot_side/src/agent/agent_node.rs
+++ b/crates/mastknot_side/src/agent/agent_node.rs
@@ -83,8 +83,8 @@
         let _ = self.actor.tell(AgentInput(event)).await;
     }
 
-    /// Returns a receiver of the target's profile, which changes each time another incarnation of the
-    /// target reports.
+    /// Returns a receiver of the target's profile, which changes each time another incarnation of
+    /// the target reports.
     pub fn profiles(&self) -> watch::Receiver<Option<TargetProfile>> {
         self.profiles.clone()
     }
--- a/crates/mastknot_side/src/agent/mod.rs
+++ b/crates/mastknot_side/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! Input and output of a side that runs tasks of known size under leases: links, timers, calls to the
-//! target.
+//! Input and output of a side that runs tasks of known size under leases: links, timers, calls to
+//! the target.
 
 mod agent_actor;
 mod agent_dialing;
--- a/crates/mastknot_side/src/agent/target_memory.rs
+++ b/crates/mastknot_side/src/agent/target_memory.rs
@@ -26,7 +26,8 @@
 /// Passes the stored profile of the target to the agent, then keeps the stored profile current.
 ///
 /// After a loss of all processes no entry knows the target, and the target's next report may be
-/// seconds away. The stored profile is used only for the incarnation of the target that reported it.
+/// seconds away. The stored profile is used only for the incarnation of the target that reported
+/// it.
 pub async fn remember_target<P: TargetPort, S: SharedStore>(
     node: AgentNode<P>,
     store: S,
--- a/crates/mastknot_side/src/agent/target_port.rs
+++ b/crates/mastknot_side/src/agent/target_port.rs
@@ -37,8 +37,8 @@
 /// Request for the runs of the target and their ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProbeCall {
-    /// Time until which the target holds its runs without a further renewal, on the target's clock in
-    /// milliseconds; `None` if the probe does not renew the hold.
+    /// Time until which the target holds its runs without a further renewal, on the target's clock
+    /// in milliseconds; `None` if the probe does not renew the hold.
     pub hold_until_ms: Option<u64>,
     /// Fencing token of the side.
     pub token: u64,
--- a/crates/mastknot_side/src/node/side_node.rs
+++ b/crates/mastknot_side/src/node/side_node.rs
@@ -33,7 +33,8 @@
 /// Result of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopReport {
-    /// Number of tasks that still ran at the stop deadline and were aborted; zero if all tasks ended in time.
+    /// Number of tasks that still ran at the stop deadline and were aborted; zero if all tasks
+    /// ended in time.
     pub aborted_tasks: usize,
 }
 
@@ -110,8 +111,8 @@
         let _ = self.actor.tell(Input(SideEvent::Drain)).await;
     }
 
-    /// Stops the side as planned: drains it, waits until no task runs, at most for the stop deadline
-    /// of the settings, and ends the actor and the servers.
+    /// Stops the side as planned: drains it, waits until no task runs, at most for the stop
+    /// deadline of the settings, and ends the actor and the servers.
     pub async fn stop(mut self) -> StopReport {
         self.drain().await;
         let drained = self.drained.wait_for(|is_drained| *is_drained);
--- a/crates/mastknot_side/tests/target_memory.rs
+++ b/crates/mastknot_side/tests/target_memory.rs
@@ -1,8 +1,8 @@
 //! Start of a side while the store does not answer.
 //!
 //! Guards against a side that reads the stored profile of its target only once: after a loss of all
-//! processes while the store is briefly unavailable, no job would be served until each target's next
-//! report.
+//! processes while the store is briefly unavailable, no job would be served until each target's
+//! next report.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/examples/embedded.rs
+++ b/examples/embedded.rs
@@ -1,6 +1,6 @@
-//! One side's and one entry's decisions inside a program of its own.
+//! Embeds the cores of one entry and one side in a program and runs a job.
 //!
-//! The program carries the messages between the two cores by hand; a real one would use its own
+//! The program passes the messages between the two cores directly; a real program would use its own
 //! network and clock.
 
 use mastknot::message::{
@@ -19,24 +19,25 @@
     }
 }
 
-/// What the entry wants goes to the side, and back, until neither wants more.
-fn carry(entry: &mut EntryCore, side: &mut SideCore, mut wanted: Vec<EntryEffect>, at: Now) {
-    while !wanted.is_empty() {
+/// Carries out the effects of the entry, and of the side in turn, until no effect is left.
+fn carry_out(entry: &mut EntryCore, side: &mut SideCore, mut effects: Vec<EntryEffect>, at: Now) {
+    while !effects.is_empty() {
         let mut next = Vec::new();
-        for effect in wanted {
+        for effect in effects {
             match effect {
                 EntryEffect::ToSide { message, .. } => {
-                    next.extend(hand_to_side(entry, side, message, at));
+                    next.extend(step_side(entry, side, message, at));
                 }
                 EntryEffect::Reply { reply, .. } => print_reply(&reply),
                 _ => {}
             }
         }
-        wanted = next;
+        effects = next;
     }
 }
 
-fn hand_to_side(
+/// Passes a message of the entry to the side and returns the effects of the entry that follow.
+fn step_side(
     entry: &mut EntryCore,
     side: &mut SideCore,
     message: EntryMessage,
@@ -48,16 +49,17 @@
         message,
     };
     let effects = side.step(at.monotonic, event);
-    hand_back(entry, side, effects, at)
+    carry_out_side(entry, side, effects, at)
 }
 
-fn hand_back(
+/// Carries out the effects of the side and returns the effects of the entry that follow.
+fn carry_out_side(
     entry: &mut EntryCore,
     side: &mut SideCore,
     effects: Vec<SideEffect>,
     at: Now,
 ) -> Vec<EntryEffect> {
-    let mut wanted = Vec::new();
+    let mut entry_effects = Vec::new();
     for effect in effects {
         match effect {
             SideEffect::Send { message, .. } => {
@@ -66,7 +68,7 @@
                     incarnation: Incarnation(1),
                     message,
                 };
-                wanted.extend(entry.step(at, event));
+                entry_effects.extend(entry.step(at, event));
             }
             SideEffect::Run(order) => {
                 println!("the target runs task {}", order.task.index);
@@ -75,12 +77,12 @@
                 let task = order.task;
                 let ended = SideEvent::TaskEnded { task, outcome };
                 let effects = side.step(at.monotonic, ended);
-                wanted.extend(hand_back(entry, side, effects, at));
+                entry_effects.extend(carry_out_side(entry, side, effects, at));
             }
             SideEffect::Abort(_) => {}
         }
     }
-    wanted
+    entry_effects
 }
 
 fn print_reply(reply: &Reply) {
@@ -104,12 +106,12 @@
     let mut entry = EntryCore::new(EntrySettings::new(me.clone()));
     let mut side = SideCore::new(SideSettings::new("side-1", "windhoek-1").slots(2));
 
-    // The platform's store says that this entry is the only one, and what services there are.
+    // The platform's store lists this entry as the only member and defines one service.
     let found = Some((1, Roster::first(me)));
     let sent_at = now(0).monotonic;
     let read = EntryEvent::RosterRead { sent_at, found };
-    let wanted = entry.step(now(1), read);
-    carry(&mut entry, &mut side, wanted, now(1));
+    let effects = entry.step(now(1), read);
+    carry_out(&mut entry, &mut side, effects, now(1));
     let orders = mastknot::message::ConfigItem {
         resource: mastknot::message::ResourceName::new("service", "orders"),
         version: 1,
@@ -122,13 +124,13 @@
     };
     entry.step(now(2), EntryEvent::Config(delta));
 
-    // The side joins and hands out its slots.
+    // The side joins and grants its slots to the entry.
     let joined = SideEvent::EntryJoined {
         entry: "entry-1".into(),
     };
     let effects = side.step(now(3).monotonic, joined);
-    let wanted = hand_back(&mut entry, &mut side, effects, now(3));
-    carry(&mut entry, &mut side, wanted, now(3));
+    let effects = carry_out_side(&mut entry, &mut side, effects, now(3));
+    carry_out(&mut entry, &mut side, effects, now(3));
 
     // A caller submits a job of three tasks.
     let submission = Submission {
@@ -144,8 +146,8 @@
         submission,
         wait: true,
     };
-    let wanted = entry.step(now(4), EntryEvent::FromCaller { request: 1, ask });
-    carry(&mut entry, &mut side, wanted, now(4));
+    let effects = entry.step(now(4), EntryEvent::FromCaller { request: 1, ask });
+    carry_out(&mut entry, &mut side, effects, now(4));
 
     for (id, _, decision) in entry.decisions().since(0) {
         println!("decision {id}: {:?}", decision.rule);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! The coordination parts of mastknot, a dispatcher for sub-second tasks, for embedding.
+//! Coordination logic of mastknot, a dispatcher for sub-second tasks, for use inside other
+//! programs.
 //!
-//! Every part takes no input or output and reads no clock: you call `step(now, event)` and carry
-//! out the effects. See [`EntryCore`] and [`SideCore`] for the two processes, and the smaller
-//! parts for use on their own: [`FairQueue`], [`RetryBudget`], [`Ledger`], [`Membership`],
-//! [`ConfigReplica`], [`ConfigWrite`].
+//! No part performs input or output or reads a clock: the program calls `step(now, event)` and
+//! carries out the returned effects. See [`EntryCore`] and [`SideCore`] for the two processes. The
+//! smaller parts can be used on their own: [`FairQueue`], [`RetryBudget`], [`Ledger`],
+//! [`Membership`], [`ConfigReplica`], [`ConfigWrite`].
 //!
 //! This crate has no feature flags.
 
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples print what their readers are told they print.
+//! Runs the examples and compares their output with the expected output.
 
 use std::process::Command;
 
