--- a/crates/mastknot_entry/src/callers/caller_api.rs
+++ b/crates/mastknot_entry/src/callers/caller_api.rs
@@ -26,7 +26,7 @@
 /// Maximum time until the whole body of a request has arrived.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Numbers of callers' requests that could not be read, by cause.
+/// Counts of callers' requests that were rejected before they became submissions, by cause.
 #[derive(Debug, Default)]
 pub(crate) struct BadInputCounters {
     pub(crate) malformed: AtomicU64,
--- a/crates/mastknot_entry/src/jobs/job_actor.rs
+++ b/crates/mastknot_entry/src/jobs/job_actor.rs
@@ -78,8 +78,7 @@
 /// Request for the entry's [`JobReport`].
 pub(super) struct GetJobReport;
 
-/// Request for the part of the learned profile that differs from the given stored profile and is to
-/// be written.
+/// Request for the [`ProfileOffer`] of the entry, given the profile that is known to be stored.
 pub(super) struct GetProfileOffer(pub(super) Option<Arc<LearnedProfile>>);
 
 /// Figures of an entry that operators read.
