--- a/crates/mastknot_cli/src/commands/check.rs
+++ b/crates/mastknot_cli/src/commands/check.rs
@@ -6,7 +6,7 @@
 use crate::exit::Exit;
 use crate::options::{Check, SettingsKind};
 
-/// Checks a settings file.
+/// Runs `mastknot check`: validates a settings file and starts nothing.
 pub(crate) fn check(check: &Check) -> Result<Exit, CliError> {
     match check.kind {
         SettingsKind::Entry => {
--- a/crates/mastknot_cli/src/commands/explain.rs
+++ b/crates/mastknot_cli/src/commands/explain.rs
@@ -5,7 +5,7 @@
 use crate::exit::Exit;
 use crate::options::Format;
 
-/// `mastknot explain`.
+/// Runs `mastknot explain`: prints every decision that the entries keep about a submission key.
 pub(crate) async fn explain(session: &Session, key: &str) -> Result<Exit, CliError> {
     let mut found = Vec::new();
     for entry in &session.target.entries {
@@ -28,7 +28,7 @@
     Ok(Exit::Done)
 }
 
-/// One decision in words.
+/// Returns one decision as a sentence.
 pub(crate) fn sentence(decision: &Value) -> String {
     let text = |field: &str| decision[field].as_str().unwrap_or("?").to_owned();
     let subject = match decision["task"].as_u64() {
@@ -37,7 +37,7 @@
     };
     let waited = decision["waited_micros"].as_u64().unwrap_or(0) as f64 / 1_000.0;
     let config = &decision["config_version"];
-    let what = match decision["rule"].as_str().unwrap_or_default() {
+    let description = match decision["rule"].as_str().unwrap_or_default() {
         "accepted" => format!(
             "accepted: {} tasks ahead, expected wait {} ms",
             decision["ahead"], decision["expected_wait_ms"]
@@ -58,7 +58,7 @@
             text("reason")
         ),
         "unknown_again" => format!(
-            "started again: its outcome on {} is unknown and the service may be repeated",
+            "started again: its outcome on {} is unknown and the service is repeatable",
             text("chosen")
         ),
         "hedge" => format!(
@@ -74,7 +74,7 @@
         other => format!("{other}: {decision}"),
     };
     format!(
-        "#{} {subject} {what} [configuration {config}]",
+        "#{} {subject} {description} [configuration {config}]",
         decision["id"]
     )
 }
@@ -84,11 +84,11 @@
         .as_array()
         .cloned()
         .unwrap_or_default();
-    let one = |candidate: &Value| {
+    let describe = |candidate: &Value| {
         let side = candidate["side"].as_str().unwrap_or("?");
         let (score, idle) = (&candidate["score"], &candidate["idle"]);
         format!("{side} (score {score}, {idle} idle credits)")
     };
-    let texts: Vec<String> = list.iter().map(one).collect();
+    let texts: Vec<String> = list.iter().map(describe).collect();
     texts.join(", ")
 }
--- a/crates/mastknot_cli/src/commands/explain_logs/job_record.rs
+++ b/crates/mastknot_cli/src/commands/explain_logs/job_record.rs
@@ -1,37 +1,37 @@
 use super::log_line::LogLine;
 
-/// How a job ended, as its entry logged it.
+/// Outcome of a job, as its entry logged it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum JobEnd {
-    /// No answer is logged.
+    /// No answer has been logged.
     #[default]
     None,
-    /// Completed within its objective.
+    /// The job completed within its latency objective.
     InTime,
-    /// Completed after its objective.
+    /// The job completed after its latency objective.
     Late,
-    /// Refused; nothing of it has run.
+    /// The job was refused and none of its tasks ran.
     Refused,
-    /// Given up after something may have run.
-    GivenUp,
-    /// A task failed as often as its queue allows.
+    /// The job timed out; some of its tasks may have run.
+    TimedOut,
+    /// A task failed as often as the queue of the job allows.
     Failed,
-    /// A task crashes the targets on which it starts.
+    /// A task of the job crashes the targets on which it starts.
     CrashesTargets,
-    /// Its caller left.
-    CallerLeft,
+    /// The caller disconnected before the answer.
+    CallerDisconnected,
 }
 
-/// What the lines of all processes say of one job.
+/// State of one job, collected from the log lines of all processes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobRecord {
     pub(super) entry: String,
     pub(super) queue: String,
     pub(super) request_id: String,
-    /// When it was taken, in seconds since 1970.
+    /// Time at which the entry accepted the job, in seconds since 1970.
     pub(super) taken_s: f64,
     pub(super) objective_ms: f64,
-    /// When the last task was placed, in milliseconds since it was taken.
+    /// Time from the acceptance of the job to the placement of its last task, in milliseconds.
     pub(super) last_start_ms: f64,
     pub(super) has_broken_run: bool,
     pub(super) has_unanswered_order: bool,
@@ -39,24 +39,24 @@
 }
 
 impl JobRecord {
-    /// Takes what a line says of the job. A job that has come again at another entry counts by its
-    /// last arrival, whatever the order of the files.
-    pub(super) fn take(&mut self, line: &LogLine) {
+    /// Updates the record from a log line about the job. A job that was submitted again through
+    /// another entry is judged by its last arrival, independent of the order of the files.
+    pub(super) fn record_line(&mut self, line: &LogLine) {
         let is_of_entry = line.process() == self.entry;
         match line.event() {
-            "job_taken" if line.at() >= self.taken_s => self.take_arrival(line),
+            "job_taken" if line.at() >= self.taken_s => self.record_arrival(line),
             "run_ended" => self.has_broken_run |= is_broken(line.text("end").unwrap_or_default()),
             "order_unanswered" => self.has_unanswered_order = true,
             "task_placed" if is_of_entry => {
                 self.last_start_ms = line.number("waited_ms").unwrap_or_default();
             }
-            "job_abandoned" if is_of_entry => self.end = JobEnd::CallerLeft,
-            "job_answered" if is_of_entry => self.end = end(line),
+            "job_abandoned" if is_of_entry => self.end = JobEnd::CallerDisconnected,
+            "job_answered" if is_of_entry => self.end = job_end(line),
             _ => {}
         }
     }
 
-    fn take_arrival(&mut self, line: &LogLine) {
+    fn record_arrival(&mut self, line: &LogLine) {
         self.entry = line.process().to_owned();
         self.queue = line.text("queue").unwrap_or_default().to_owned();
         self.request_id = line.request_id().unwrap_or_default().to_owned();
@@ -66,19 +66,20 @@
     }
 }
 
-fn end(line: &LogLine) -> JobEnd {
+fn job_end(line: &LogLine) -> JobEnd {
     let answer = line.text("answer").unwrap_or_default();
     match answer.split(' ').next().unwrap_or_default() {
         "Completed" if line.is_true("in_time") => JobEnd::InTime,
         "Completed" => JobEnd::Late,
         "Refused" => JobEnd::Refused,
-        "TimedOut" => JobEnd::GivenUp,
+        "TimedOut" => JobEnd::TimedOut,
         "Failed" if answer.contains("CrashesTargets") => JobEnd::CrashesTargets,
         _ => JobEnd::Failed,
     }
 }
 
-/// An end that cost the job time, other than a start that found no room.
+/// Returns whether a run ended in a way that cost its job time. Starts that found no capacity and
+/// runs that were stopped on request do not count.
 pub(super) fn is_broken(end: &str) -> bool {
     !end.starts_with("NotRun(NoRoom") && !end.starts_with("Stopped") && end != "Done"
 }
--- a/crates/mastknot_cli/src/commands/explain_logs/log_line.rs
+++ b/crates/mastknot_cli/src/commands/explain_logs/log_line.rs
@@ -1,17 +1,18 @@
 use serde_json::{Map, Value};
 
-/// Fields that are told apart from the others.
+/// Fields with a place of their own in a printed line; the others follow as `name=value`.
 const OWN_FIELDS: [&str; 4] = ["at", "event", "level", "request_id"];
 
-/// One line that a process has logged.
+/// One JSON log line of an entry or a side.
 pub(super) struct LogLine {
     process: String,
     fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; what stands before its JSON object, as log collectors add it, is the process's
-    /// name if it ends with one.
+    /// Parses a log line. Log collectors may put text before the JSON object; the last word of that
+    /// text is the name of the process. Without such text, the name of the file is used. Returns
+    /// `None` for a line without a JSON object.
     pub(super) fn parse(file: &str, text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let fields = serde_json::from_str(&text[start..]).ok()?;
@@ -20,7 +21,7 @@
         Some(Self { process, fields })
     }
 
-    /// The process that logged it.
+    /// Returns the name of the process that logged the line.
     pub(super) fn process(&self) -> &str {
         &self.process
     }
@@ -49,16 +50,18 @@
         self.text("request_id")
     }
 
-    /// The job that the line names, by itself or as a part of a run's or a task's name.
+    /// Returns the job that the line names, either in the field `job` or as the first part of the
+    /// name of a run or task.
     pub(super) fn job(&self) -> Option<&str> {
-        let part = self.text("run").or_else(|| self.text("task"));
+        let run_or_task = self.text("run").or_else(|| self.text("task"));
         let named = self.text("job");
-        named.or_else(|| part?.split('/').next())
+        named.or_else(|| run_or_task?.split('/').next())
     }
 
-    /// The line in words: when, which process, what, with which inputs.
-    pub(super) fn sentence(&self, began: f64) -> String {
-        let after_ms = (self.at() - began) * 1_000.0;
+    /// Returns the line in readable form: milliseconds since `start_s` (in seconds since 1970),
+    /// process, event and the other fields.
+    pub(super) fn sentence(&self, start_s: f64) -> String {
+        let after_ms = (self.at() - start_s) * 1_000.0;
         let others = self.fields.iter();
         let others = others.filter(|(name, _)| !OWN_FIELDS.contains(&name.as_str()));
         let texts = others.map(|(name, value)| match value {
--- a/crates/mastknot_cli/src/commands/explain_logs/loss_cause.rs
+++ b/crates/mastknot_cli/src/commands/explain_logs/loss_cause.rs
@@ -2,46 +2,49 @@
 
 use super::job_record::{JobEnd, JobRecord};
 
-/// A last start later than this part of the objective cost the job its time.
+/// Part of the latency objective after which the start of the last task counts as the reason why a
+/// job was late.
 const LONG_WAIT: f64 = 0.3;
 
-/// Why a job was not done in time; each such job has one cause.
+/// Reason why a job did not complete within its latency objective. Each such job has one cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum LossCause {
-    /// It was refused: nothing of it found room.
-    NoRoom,
-    /// It began, and the rest of it found room late or not at all.
-    NoRoomForRest,
-    /// An order to a target got no answer and had to be cleared first.
+    /// The job was refused because no target had capacity for any of its tasks.
+    NoCapacity,
+    /// The first tasks started, but the others found capacity late or not at all.
+    NoCapacityForRest,
+    /// A target did not answer an order, which had to be resolved before the job could go on.
     UnansweredOrder,
-    /// A run was lost, stood still, or failed by its target's fault.
+    /// A run was lost, stalled, or failed because of a fault of its target.
     BrokenRun,
-    /// Its tasks failed as often as its queue allows.
+    /// A task failed as often as the queue of the job allows.
     Failed,
-    /// A task of it crashes the targets on which it starts.
+    /// A task of the job crashes the targets on which it starts.
     CrashesTargets,
-    /// All of it started in time: its work, or its target, was slow.
+    /// All tasks started in time, but a task or its target was slow.
     SlowRun,
-    /// Its entry ended or stood still before the answer.
+    /// The entry stopped or hung before it answered.
     NoAnswer,
-    /// Its caller left before the answer.
-    CallerLeft,
+    /// The caller disconnected before the answer.
+    CallerDisconnected,
 }
 
 impl LossCause {
-    /// Why a job was lost, or nothing if it was done in time.
+    /// Returns why a job was not done in time, or `None` if it was.
     pub(super) fn of(job: &JobRecord) -> Option<Self> {
         let cause = match job.end {
             JobEnd::InTime => return None,
-            JobEnd::Refused => Self::NoRoom,
+            JobEnd::Refused => Self::NoCapacity,
             JobEnd::Failed => Self::Failed,
             JobEnd::CrashesTargets => Self::CrashesTargets,
             JobEnd::None => Self::NoAnswer,
-            JobEnd::CallerLeft => Self::CallerLeft,
-            JobEnd::Late | JobEnd::GivenUp if job.has_unanswered_order => Self::UnansweredOrder,
-            JobEnd::Late | JobEnd::GivenUp if job.has_broken_run => Self::BrokenRun,
-            JobEnd::GivenUp => Self::NoRoomForRest,
-            JobEnd::Late if job.last_start_ms > job.objective_ms * LONG_WAIT => Self::NoRoomForRest,
+            JobEnd::CallerDisconnected => Self::CallerDisconnected,
+            JobEnd::Late | JobEnd::TimedOut if job.has_unanswered_order => Self::UnansweredOrder,
+            JobEnd::Late | JobEnd::TimedOut if job.has_broken_run => Self::BrokenRun,
+            JobEnd::TimedOut => Self::NoCapacityForRest,
+            JobEnd::Late if job.last_start_ms > job.objective_ms * LONG_WAIT => {
+                Self::NoCapacityForRest
+            }
             JobEnd::Late => Self::SlowRun,
         };
         Some(cause)
@@ -51,15 +54,15 @@
 impl fmt::Display for LossCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
-            Self::NoRoom => "no room",
-            Self::NoRoomForRest => "no room for the rest",
+            Self::NoCapacity => "no capacity",
+            Self::NoCapacityForRest => "no capacity for rest",
             Self::UnansweredOrder => "unanswered order",
             Self::BrokenRun => "broken run",
             Self::Failed => "failed",
             Self::CrashesTargets => "crashes targets",
             Self::SlowRun => "slow run",
             Self::NoAnswer => "no answer",
-            Self::CallerLeft => "caller left",
+            Self::CallerDisconnected => "caller left",
         })
     }
 }
--- a/crates/mastknot_cli/src/commands/explain_logs/summary.rs
+++ b/crates/mastknot_cli/src/commands/explain_logs/summary.rs
@@ -10,18 +10,19 @@
 use crate::exit::Exit;
 use crate::output::print_text;
 
-/// A job that was not done in time, and why.
+/// A job that was not done in time, with the cause.
 type LostJob<'j> = (LossCause, &'j JobRecord);
 
-/// Prints why jobs were not done in time: in all, by queue, by entry and by second.
+/// Prints why jobs were not done in time, in total and by queue, entry and second.
 pub(crate) fn summarize_logs(files: &[PathBuf]) -> Result<Exit, CliError> {
     let mut jobs: HashMap<String, JobRecord> = HashMap::new();
     for_each_line(files, |line| {
         if let Some(job) = line.job() {
-            jobs.entry(job.to_owned()).or_default().take(&line);
+            jobs.entry(job.to_owned()).or_default().record_line(&line);
         }
     })?;
-    // Lines of a side about a job whose entry's log is not here.
+    // Jobs that appear only in logs of sides have no known arrival: the log of their entry was not
+    // given.
     jobs.retain(|_, job| !job.entry.is_empty());
     if jobs.is_empty() {
         eprintln!("mastknot: no job in these logs; give the logs of all entries and sides");
@@ -55,7 +56,7 @@
     lines.join("\n") + "\n"
 }
 
-/// Each cause with its count and the first request that it struck.
+/// Returns one line for each cause, with its count and the first request affected.
 fn examples(lost: &[LostJob]) -> Vec<String> {
     let mut by_cause: BTreeMap<LossCause, Vec<&JobRecord>> = BTreeMap::new();
     for (cause, job) in lost {
@@ -69,7 +70,7 @@
     lines.collect()
 }
 
-/// A line a group: its lost jobs by cause.
+/// Returns one line for each group, with its late or lost jobs counted by cause.
 fn groups(lost: &[LostJob], name: impl Fn(&JobRecord) -> String) -> Vec<String> {
     let mut groups: BTreeMap<String, BTreeMap<LossCause, usize>> = BTreeMap::new();
     for (cause, job) in lost {
--- a/crates/mastknot_cli/src/commands/halls.rs
+++ b/crates/mastknot_cli/src/commands/halls.rs
@@ -1,4 +1,4 @@
-//! Halls: draining, returning, and what still runs there.
+//! Commands that drain halls, return them to service and list them.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,21 +11,21 @@
 use crate::error::CliError;
 use crate::exit::Exit;
 
-/// What is known of one hall.
+/// One row of `mastknot get halls`.
 #[derive(Clone, Copy, Debug, Default)]
 struct HallRow {
     targets: u64,
     running: u64,
-    /// In milliseconds since 1970; none if it is not drained.
+    /// Time at which the hall was drained, in milliseconds since 1970; `None` if it is not drained.
     drained_since_ms: Option<u64>,
 }
 
-/// `mastknot drain-hall`: its targets get no new work, what runs there ends.
+/// Runs `mastknot drain-hall`: the targets of the hall get no new work and finish what they run.
 pub(crate) async fn drain(session: &Session, hall: &str, reason: &str) -> Result<Exit, CliError> {
     let path = path_of(hall);
     let current = session.client.get(session.first(), &path).await?;
     if current.status.is_success() {
-        // Drained already: since when and why stays.
+        // The hall is drained already: its time and reason stay as they are.
         session.print(&current.body);
         return Ok(Exit::Done);
     }
@@ -44,8 +44,8 @@
     Ok(Exit::Done)
 }
 
-/// `mastknot return-hall`: its targets get work again.
-pub(crate) async fn give_back(session: &Session, hall: &str) -> Result<Exit, CliError> {
+/// Runs `mastknot return-hall`: the targets of the hall get work again.
+pub(crate) async fn return_to_service(session: &Session, hall: &str) -> Result<Exit, CliError> {
     let path = path_of(hall);
     let current = session.client.get(session.first(), &path).await?;
     if current.status == StatusCode::NOT_FOUND {
@@ -60,15 +60,16 @@
     Ok(Exit::Done)
 }
 
-/// `mastknot get halls`: targets, what runs there for the entries that are asked, since when each hall is drained.
+/// Runs `mastknot get halls`: prints the targets of each hall, the tasks that run there for the
+/// queried entries, and how long the hall has been drained.
 pub(crate) async fn list(session: &Session) -> Result<Exit, CliError> {
     let mut halls: BTreeMap<String, HallRow> = BTreeMap::new();
-    for (place, entry) in session.target.entries.iter().enumerate() {
+    for (entry_index, entry) in session.target.entries.iter().enumerate() {
         let answer = session.client.get(*entry, "/v1/live/targets").await?;
         accepted(&answer)?;
         for target in answer.body.as_array().into_iter().flatten() {
             let row = halls.entry(text(&target["hall"])).or_default();
-            row.targets += u64::from(place == 0);
+            row.targets += u64::from(entry_index == 0);
             row.running += target["running"].as_u64().unwrap_or_default();
         }
     }
@@ -80,13 +81,13 @@
         let row = halls.entry(text(&item["name"])).or_default();
         row.drained_since_ms = Some(item["value"]["since_ms"].as_u64().unwrap_or_default());
     }
-    let rows: Vec<Value> = halls.iter().map(|(hall, row)| row.shown(hall)).collect();
+    let rows: Vec<Value> = halls.iter().map(|(hall, row)| row.to_json(hall)).collect();
     session.print(&Value::from(rows));
     Ok(Exit::Done)
 }
 
 impl HallRow {
-    fn shown(&self, hall: &str) -> Value {
+    fn to_json(&self, hall: &str) -> Value {
         let for_s = self
             .drained_since_ms
             .map(|since| now_ms().saturating_sub(since) / 1_000);
--- a/crates/mastknot_cli/src/commands/mod.rs
+++ b/crates/mastknot_cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands that talk to entries, and `check`.
+//! Commands that call entries, and the local commands `check` and `explain --logs`.
 
 mod check;
 mod explain;
@@ -24,17 +24,17 @@
 use crate::options::{Action, Format, Target};
 use crate::output::{print_json, print_table};
 
-/// How long a call to an entry may take.
-const CALL_LIMIT: Duration = Duration::from_secs(15);
+/// Timeout of a call to an entry.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What every command has at hand.
+/// HTTP client and options shared by all commands that call entries.
 pub(crate) struct Session {
     pub(crate) client: Client,
     pub(crate) target: Target,
 }
 
 impl Session {
-    /// The entry that stored resources are read from and written through.
+    /// Returns the entry through which stored resources are read and written.
     pub(crate) fn first(&self) -> SocketAddr {
         self.target.entries[0]
     }
@@ -47,10 +47,10 @@
     }
 }
 
-/// Runs a command that talks to entries.
+/// Runs a command that calls entries.
 pub(crate) async fn run(target: Target, action: Action) -> Result<Exit, CliError> {
     let session = Session {
-        client: Client::new(CALL_LIMIT),
+        client: Client::new(CALL_TIMEOUT),
         target,
     };
     match action {
@@ -63,7 +63,7 @@
         Action::Explain { key } => explain::explain(&session, &key).await,
         Action::Drain { target } => drain(&session, &target).await,
         Action::DrainHall { hall, reason } => halls::drain(&session, &hall, &reason).await,
-        Action::ReturnHall { hall } => halls::give_back(&session, &hall).await,
+        Action::ReturnHall { hall } => halls::return_to_service(&session, &hall).await,
     }
 }
 
@@ -77,7 +77,7 @@
     Ok(Exit::Done)
 }
 
-/// Turns an entry's refusal into an error with its exit code.
+/// Returns an error with the matching exit code if an entry refused the call.
 pub(crate) fn accepted(answer: &Answer) -> Result<(), CliError> {
     if answer.status.is_success() {
         return Ok(());
--- a/crates/mastknot_cli/src/commands/resources.rs
+++ b/crates/mastknot_cli/src/commands/resources.rs
@@ -8,10 +8,10 @@
 use crate::exit::Exit;
 use crate::options::Format;
 
-/// The kinds that live in the memory of entries.
+/// Kinds of resources that entries keep in memory and do not store.
 const LIVE_KINDS: [&str; 5] = ["jobs", "targets", "entries", "decisions", "status"];
 
-/// `mastknot get`.
+/// Runs `mastknot get`: prints stored or live resources.
 pub(crate) async fn get(
     session: &Session,
     kind: &str,
@@ -53,7 +53,7 @@
     Ok(Exit::Done)
 }
 
-/// `mastknot apply`.
+/// Runs `mastknot apply`: writes the resources of a JSON file.
 pub(crate) async fn apply(session: &Session, file: &Path) -> Result<Exit, CliError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).context(ReadFileSnafu { file: &name })?;
@@ -69,7 +69,8 @@
     Ok(Exit::Done)
 }
 
-/// Writes a resource at the version that the file names, or at the one that stands now.
+/// Writes a resource over the version that the file names or, if it names none, over the current
+/// version.
 async fn apply_one(session: &Session, mut resource: Value) -> Result<Value, CliError> {
     let kind = resource["kind"].as_str().unwrap_or_default();
     let name = resource["name"].as_str().unwrap_or_default();
@@ -87,7 +88,7 @@
     Ok(answer.body)
 }
 
-/// `mastknot delete`.
+/// Runs `mastknot delete`: deletes the current version of a stored resource.
 pub(crate) async fn delete(session: &Session, kind: &str, name: &str) -> Result<Exit, CliError> {
     let path = format!("/v1/resources/{kind}/{name}");
     let current = session.client.get(session.first(), &path).await?;
--- a/crates/mastknot_cli/src/commands/wait.rs
+++ b/crates/mastknot_cli/src/commands/wait.rs
@@ -6,10 +6,10 @@
 use crate::error::CliError;
 use crate::exit::Exit;
 
-/// How often the status is read.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two reads of the status.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `mastknot wait --in-force`.
+/// Runs `mastknot wait --in-force`: waits until a configuration version is in force on every node.
 pub(crate) async fn wait(
     session: &Session,
     version: Option<u64>,
@@ -33,6 +33,6 @@
             session.print(status);
             return Ok(Exit::NotYet);
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/mastknot_cli/src/commands/watch.rs
+++ b/crates/mastknot_cli/src/commands/watch.rs
@@ -4,7 +4,7 @@
 use crate::error::CliError;
 use crate::exit::Exit;
 
-/// `mastknot watch`.
+/// Runs `mastknot watch`: prints changes as they occur, one JSON object a line.
 pub(crate) async fn watch(
     session: &Session,
     kind: &str,
@@ -20,13 +20,13 @@
     let path = format!("/v1/{area}/{kind}?watch=true{from}");
     let mut watch = session.client.watch(session.first(), &path).await?;
     let status = watch.status();
-    let mut left = count.unwrap_or(u64::MAX);
-    while left > 0 {
+    let mut lines_left = count.unwrap_or(u64::MAX);
+    while lines_left > 0 {
         let Some(line) = watch.next().await? else {
             break;
         };
         println!("{line}");
-        left -= 1;
+        lines_left -= 1;
     }
     Ok(match status {
         StatusCode::OK => Exit::Done,
--- a/crates/mastknot_cli/src/demo/mod.rs
+++ b/crates/mastknot_cli/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! A whole system inside this process, and its promises step by step.
+//! Demonstration of a complete system inside this process, one guarantee a step.
 
 mod steps;
 
@@ -9,14 +9,14 @@
 use crate::exit::Exit;
 use crate::options::Demo;
 
-/// Prints the steps.
+/// Prints the steps of the demo as text or JSON.
 pub(crate) struct Reporter {
     json: bool,
     number: u32,
 }
 
 impl Reporter {
-    /// Prints one step: its name, what it shows, and the facts.
+    /// Prints one step: its name, the guarantee that it shows, and the observed facts.
     pub(crate) fn step(&mut self, name: &str, shows: &str, facts: Value) {
         self.number += 1;
         let number = self.number;
@@ -37,7 +37,7 @@
     }
 }
 
-/// `mastknot demo`.
+/// Runs `mastknot demo`.
 pub(crate) async fn run(demo: Demo) -> Result<Exit, CliError> {
     let plan = Plan::new(["windhoek-1", "windhoek-2"])
         .entries(2)
@@ -55,7 +55,7 @@
     Ok(Exit::Done)
 }
 
-/// Leaves the system running until it is interrupted.
+/// Prints the addresses of the system and keeps it running until the process is interrupted.
 async fn keep(harness: &Harness) {
     for address in harness.callers() {
         println!("callers:   {address}");
--- a/crates/mastknot_cli/src/demo/steps.rs
+++ b/crates/mastknot_cli/src/demo/steps.rs
@@ -10,7 +10,7 @@
 use crate::commands::sentence;
 use crate::error::CliError;
 
-/// How long an entry's keys may be without a holder after a crash.
+/// Maximum time until another entry owns the keys of a crashed entry.
 const TAKEOVER_LIMIT: Duration = Duration::from_secs(5);
 
 fn new_key() -> String {
@@ -45,7 +45,7 @@
     Err(CliError::DemoStep { step, problem })
 }
 
-/// Runs all steps; fails at the first that does not show what it must.
+/// Runs all steps and stops with an error at the first one whose guarantee does not hold.
 pub(crate) async fn run_all(
     mut harness: Harness,
     reporter: &mut Reporter,
@@ -221,7 +221,7 @@
     )?;
     reporter.step(
         "drain a target",
-        "a leaving target gets nothing new; the job ran on the others",
+        "a draining target gets no new tasks; the job ran on the others",
         json!({ "target": target, "starts before": before, "starts after": after }),
     );
     Ok(())
@@ -239,9 +239,9 @@
     let accepted = first.body["version"].as_u64().unwrap_or(0);
     harness.wait_in_force(accepted).await?;
     let in_force_ms = started.elapsed().as_millis() as u64;
-    // A second operator who read the old version gets a conflict that names the difference.
-    let late = json!({ "quota": 32, "weight": 2 });
-    let second = harness.put("team", "kalahari", version, late).await?;
+    // A second operator writes over the old version and gets a conflict that names the difference.
+    let outdated = json!({ "quota": 32, "weight": 2 });
+    let second = harness.put("team", "kalahari", version, outdated).await?;
     ensure("configuration", second.text("error") == "conflict", &second)?;
     reporter.step(
         "change the configuration",
--- a/crates/mastknot_cli/src/error.rs
+++ b/crates/mastknot_cli/src/error.rs
@@ -5,39 +5,39 @@
 
 use crate::exit::Exit;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum CliError {
-    /// An entry gave no answer.
+    /// A call to an entry failed.
     #[snafu(display("{source}"), context(false))]
     Client { source: ClientError },
-    /// Settings are not allowed.
+    /// A settings file is invalid.
     #[snafu(display("{source}"), context(false))]
     Settings { source: SettingsError },
-    /// The demo's system failed.
+    /// The system of the demo failed.
     #[snafu(display("{source}"), context(false))]
     Harness { source: HarnessError },
-    /// A file can't be read.
+    /// A file cannot be read.
     #[snafu(display("{file}: cannot be read: {source}"))]
     ReadFile {
         file: String,
         source: std::io::Error,
     },
-    /// A file holds no resource.
+    /// A file is not valid JSON.
     #[snafu(display("{file}: {source}"))]
     ParseFile {
         file: String,
         source: serde_json::Error,
     },
-    /// The output can't be written.
+    /// The output cannot be written.
     #[snafu(display("the output cannot be written: {source}"))]
     Output { source: std::io::Error },
     /// An entry refused the command.
     #[snafu(display("{problem}"))]
     Refused { exit: Exit, problem: String },
-    /// A step of the demo did not show what it must.
-    #[snafu(display("the demo's step {step:?} failed: {problem}"))]
+    /// A guarantee did not hold in a step of the demo.
+    #[snafu(display("step {step:?} of the demo failed: {problem}"))]
     DemoStep { step: String, problem: String },
 }
 
--- a/crates/mastknot_cli/src/exit.rs
+++ b/crates/mastknot_cli/src/exit.rs
@@ -1,23 +1,23 @@
 use std::process::ExitCode;
 
-/// The exit codes, as `--help` and docs/operators/command-line.md list them.
+/// Exit codes, as `--help` and docs/operators/command-line.md list them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// An entry could not be reached or did not answer.
+    /// An entry could not be reached or did not answer, or a step of the demo failed.
     Unreachable = 1,
-    /// Bad settings or a resource that is not allowed.
+    /// The settings, the resource or a file is invalid or unreadable.
     NotAllowed = 2,
-    /// Another write came first.
+    /// Another write changed the resource first.
     Conflict = 3,
-    /// No such resource, or nothing is known of the key.
+    /// The resource does not exist, or no decision or log line about the key or id was found.
     NotFound = 4,
-    /// The wait ended before the condition held.
+    /// The timeout of `wait` passed before the configuration was in force.
     NotYet = 5,
-    /// The store has not said whether the write took effect.
+    /// It is unknown whether the write took effect, because the store did not answer.
     Undecided = 6,
-    /// The version can't be resumed from: list again.
+    /// The version is too old to resume from; the client must list the resources again.
     TooOld = 7,
 }
 
--- a/crates/mastknot_cli/src/main.rs
+++ b/crates/mastknot_cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `mastknot`: the operators' command line, and the demo.
+//! `mastknot`: command line for operators, and the demo.
 
 mod commands;
 mod demo;
@@ -14,7 +14,7 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let command = options().run();
-    let done = match command {
+    let result = match command {
         Command::Check(check) => commands::check(&check),
         Command::ExplainLogs(wanted) => match wanted.subject {
             LogSubject::Summary => commands::summarize_logs(&wanted.logs),
@@ -23,7 +23,7 @@
         Command::Demo(demo) => demo::run(demo).await,
         Command::Remote { target, action } => commands::run(target, action).await,
     };
-    match done {
+    match result {
         Ok(exit) => exit.into(),
         Err(error) => {
             eprintln!("mastknot: {error}");
--- a/crates/mastknot_cli/src/options/command.rs
+++ b/crates/mastknot_cli/src/options/command.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// How results are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
     Table,
@@ -18,13 +18,13 @@
             "table" => Ok(Self::Table),
             "json" => Ok(Self::Json),
             _ => Err(format!(
-                "{text:?} is no format; the formats are table, json"
+                "{text:?} is not a format; the formats are table, json"
             )),
         }
     }
 }
 
-/// Which binary a settings file is for.
+/// Role whose settings a file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SettingsKind {
     Entry,
@@ -43,44 +43,44 @@
     }
 }
 
-/// Which entries are asked, and how the answer is printed.
+/// Entries to call and the output format.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) entries: Vec<SocketAddr>,
     pub(crate) format: Format,
 }
 
-/// `mastknot check`.
+/// Options of `mastknot check`.
 #[derive(Clone, Debug)]
 pub(crate) struct Check {
     pub(crate) kind: SettingsKind,
     pub(crate) file: PathBuf,
 }
 
-/// `mastknot explain --logs`.
+/// Options of `mastknot explain --logs`.
 #[derive(Clone, Debug)]
 pub(crate) struct ExplainLogs {
     pub(crate) logs: Vec<PathBuf>,
     pub(crate) subject: LogSubject,
 }
 
-/// What logs are read for.
+/// Subject of `mastknot explain --logs`.
 #[derive(Clone, Debug)]
 pub(crate) enum LogSubject {
-    /// All jobs that were not done in time.
+    /// Summary of all jobs that were not done in time.
     Summary,
-    /// One request, job or run.
+    /// Id of one request, job or run.
     Id(String),
 }
 
-/// `mastknot demo`.
+/// Options of `mastknot demo`.
 #[derive(Clone, Debug)]
 pub(crate) struct Demo {
     pub(crate) json: bool,
     pub(crate) keep: bool,
 }
 
-/// A command that talks to entries.
+/// Command that calls entries.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     Get {
@@ -118,7 +118,7 @@
     },
 }
 
-/// One command.
+/// Parsed command line.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
     Remote { target: Target, action: Action },
--- a/crates/mastknot_cli/src/options/mod.rs
+++ b/crates/mastknot_cli/src/options/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line options.
 
 mod command;
 mod parse;
--- a/crates/mastknot_cli/src/options/parse.rs
+++ b/crates/mastknot_cli/src/options/parse.rs
@@ -6,7 +6,7 @@
 
 use super::{Action, Check, Command, Demo, ExplainLogs, Format, LogSubject, SettingsKind, Target};
 
-/// The exit codes, for `--help`.
+/// Exit codes, printed at the end of `--help`.
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 unreachable, 2 not allowed, 3 conflict, \
 4 not found, 5 not yet (wait), 6 undecided, 7 too old (watch)";
 
@@ -14,7 +14,7 @@
     let entries = long("entry")
         .short('e')
         .env("MASTKNOT_ENTRY")
-        .help("Operators' address of an entry; give it once for each entry to see all of them")
+        .help("Operators' address of an entry; repeat it to query several entries")
         .argument::<SocketAddr>("ADDRESS")
         .some("no entry: give --entry ADDRESS or set MASTKNOT_ENTRY");
     let format = long("output")
@@ -59,7 +59,7 @@
         .help("JSON file with a resource or a list of them: kind, name, value; version if known")
         .argument::<PathBuf>("FILE");
     remote(construct!(Action::Apply { file }))
-        .descr("Create or change stored resources; a change in between is a conflict")
+        .descr("Create or change stored resources; a write in between is reported as a conflict")
         .command("apply")
 }
 
@@ -81,7 +81,7 @@
         .optional();
     let kind = kind();
     remote(construct!(Action::Watch { from, count, kind }))
-        .descr("Print changes as they come, a JSON object a line")
+        .descr("Print changes as they occur, one JSON object a line")
         .command("watch")
 }
 
@@ -102,7 +102,7 @@
 
 fn explain() -> impl Parser<Command> {
     let logs = long("logs")
-        .help("Log file of an entry or a side, in place of asking entries; give it once for each")
+        .help("Log file of an entry or a side to read instead of calling entries; may be repeated")
         .argument::<PathBuf>("FILE")
         .some("no log file");
     let summary = long("summary")
@@ -126,7 +126,7 @@
 fn drain() -> impl Parser<Command> {
     let target = positional::<String>("TARGET").help("Name of the side");
     remote(construct!(Action::Drain { target }))
-        .descr("Let a target leave: what runs ends, nothing new starts")
+        .descr("Drain a target: running tasks finish, no new tasks start")
         .command("drain")
 }
 
@@ -136,12 +136,12 @@
 
 fn drain_hall() -> impl Parser<Command> {
     let reason = long("reason")
-        .help("Why, for other operators")
+        .help("Reason, shown to other operators")
         .argument::<String>("TEXT")
         .fallback(String::new());
     let hall = hall();
     remote(construct!(Action::DrainHall { reason, hall }))
-        .descr("Drain a hall: its targets get no new work, what runs there ends")
+        .descr("Drain a hall: its targets get no new work, running tasks finish")
         .command("drain-hall")
 }
 
@@ -158,7 +158,7 @@
     construct!(Check { kind, file })
         .map(Command::Check)
         .to_options()
-        .descr("Check a settings file whole and start nothing")
+        .descr("Check a complete settings file without starting anything")
         .command("check")
 }
 
@@ -170,11 +170,11 @@
     construct!(Demo { json, keep })
         .map(Command::Demo)
         .to_options()
-        .descr("Run a whole system inside this process and show its promises, step by step")
+        .descr("Run a complete system inside this process and show its guarantees, step by step")
         .command("demo")
 }
 
-/// The whole command line.
+/// Returns the parser of the complete command line.
 pub(crate) fn options() -> OptionParser<Command> {
     let (get, apply, delete, watch) = (get(), apply(), delete(), watch());
     let (wait, explain, drain, check, demo) = (wait(), explain(), drain(), check(), demo());
--- a/crates/mastknot_cli/src/output/table.rs
+++ b/crates/mastknot_cli/src/output/table.rs
@@ -1,6 +1,6 @@
 use serde_json::Value;
 
-/// Prints a list of objects as a table, a single object as lines.
+/// Prints a list of objects as a table and a single object as one line for each field.
 pub(crate) fn print_table(value: &Value) {
     match value {
         Value::Array(rows) => print_rows(rows),
--- a/crates/mastknot_cli/tests/check_settings.rs
+++ b/crates/mastknot_cli/tests/check_settings.rs
@@ -1,4 +1,5 @@
-//! Settings are checked whole: one clear error names file, line or key, value and what is allowed.
+//! `mastknot check` reports an invalid settings file with one error that names the file, the line
+//! or key, the value and the allowed values.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -62,10 +63,14 @@
 #[case::no_toml("no_toml", "name = ".to_owned(), expect![[r#"
     mastknot: no_toml.toml, line 1: `name =`: string values must be quoted, expected literal string
 "#]])]
-fn bad_entry_settings_are_named(#[case] name: &str, #[case] text: String, #[case] told: Expect) {
+fn bad_entry_settings_are_named(
+    #[case] name: &str,
+    #[case] text: String,
+    #[case] expected: Expect,
+) {
     let (code, printed) = check("entry", name, &text);
     assert_eq!(code, Some(2), "{printed}");
-    told.assert_eq(&printed);
+    expected.assert_eq(&printed);
 }
 
 #[rstest]
--- a/crates/mastknot_cli/tests/explain_logs.rs
+++ b/crates/mastknot_cli/tests/explain_logs.rs
@@ -1,4 +1,5 @@
-//! The story of a request from the logs of its entry and its sides.
+//! `mastknot explain --logs`: log lines and outcome of a request, and the summary of jobs that were
+//! not done in time.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_refused_request_found_no_room() {
+fn a_refused_request_found_no_capacity() {
     check(
         "refused",
         "r2",
@@ -74,7 +75,7 @@
         expect![[r#"
                0 ms  entry-1  job_taken  job=aa00000000000002 objective_ms=150 tasks=1 waiting_jobs=9
              500 ms  entry-1  job_answered  after_ms=500 answer=Refused first_start_ms=null in_time=false job=aa00000000000002 starts=0
-        It ended as Refused after 500 ms: it found no room; 0 starts were turned away.
+        It ended as Refused after 500 ms: it found no capacity; 0 starts were turned away.
     "#]],
     );
 }
@@ -92,9 +93,9 @@
     let files = [("entry-1.log", CRASHING)];
     let (exit, printed) = explain_files("crashing", &files, "r9");
     let last = printed.lines().last();
-    let told = "It ended as Failed { cause: CrashesTargets } after 28 ms: 2 targets crashed under task \
+    let expected = "It ended as Failed { cause: CrashesTargets } after 28 ms: 2 targets crashed under task \
                 aa00000000000009/0/0, after [12, 12] ms.";
-    assert_eq!((exit, last), (Some(0), Some(told)));
+    assert_eq!((exit, last), (Some(0), Some(expected)));
     let (_, summary) = explain_files("crashing-all", &files, "--summary");
     assert!(summary.contains("1  crashes targets"), "{summary}");
 }
@@ -107,7 +108,7 @@
         0,
         expect![[r#"
                0 ms  entry-1  job_taken  job=aa00000000000003 objective_ms=150 tasks=1 waiting_jobs=0
-        It was taken and never answered: the entry ended or stood still; look for its `started` and for `lease_ended` at the sides.
+        It was accepted and never answered: the entry stopped or hung; look for its `started` event and for `lease_ended` events of the sides.
     "#]],
     );
 }
@@ -132,20 +133,20 @@
         0,
         expect![[r#"
             3 jobs, 3 of them not in time
-                  1  no room               first request r2
+                  1  no capacity           first request r2
                   1  broken run            first request r1
                   1  no answer             first request r3
             by queue
-                no room 1, broken run 1, no answer 1
+                no capacity 1, broken run 1, no answer 1
             by entry
-              entry-1  no room 1, broken run 1, no answer 1
+              entry-1  no capacity 1, broken run 1, no answer 1
             by second
-                  0  no room 1, broken run 1, no answer 1
+                  0  no capacity 1, broken run 1, no answer 1
         "#]],
     );
 }
 
-const CROWDED_ENTRY: &str = r#"{"at":50.000,"event":"job_taken","job":"bb00000000000001","objective_ms":150,"queue":"previews","request_id":"c1","tasks":1}
+const BUSY_ENTRY: &str = r#"{"at":50.000,"event":"job_taken","job":"bb00000000000001","objective_ms":150,"queue":"previews","request_id":"c1","tasks":1}
 {"at":50.001,"event":"task_placed","run":"bb00000000000001/0/0#7","request_id":"c1","side":"side-1","waited_ms":1}
 {"at":50.100,"event":"job_answered","job":"bb00000000000001","request_id":"c1","answer":"Completed","after_ms":100,"starts":1,"in_time":true}
 {"at":50.200,"event":"job_taken","job":"bb00000000000002","objective_ms":150,"queue":"previews","request_id":"c2","tasks":2}
@@ -166,29 +167,29 @@
 {"at":51.900,"event":"job_answered","job":"bb00000000000007","request_id":"c7","answer":"Failed","after_ms":100,"starts":4,"in_time":true}
 "#;
 
-const CROWDED_SIDE: &str = r#"{"at":51.330,"event":"order_unanswered","run":"bb00000000000004/0/0#9"}
+const BUSY_SIDE: &str = r#"{"at":51.330,"event":"order_unanswered","run":"bb00000000000004/0/0#9"}
 {"at":51.330,"event":"order_unanswered","run":"bb00000000000099/0/0#9"}
 "#;
 
 #[test]
 fn a_summary_tells_all_causes_apart() {
-    let files = [("entry-7.log", CROWDED_ENTRY), ("side-8.log", CROWDED_SIDE)];
+    let files = [("entry-7.log", BUSY_ENTRY), ("side-8.log", BUSY_SIDE)];
     let (code, printed) = explain_files("causes", &files, "--summary");
     expect![[r#"
         7 jobs, 6 of them not in time
-              2  no room for the rest  first request c2
+              2  no capacity for rest  first request c2
               1  unanswered order      first request c4
               1  failed                first request c7
               1  slow run              first request c3
               1  caller left           first request c5
         by queue
-          indexes  no room for the rest 1, unanswered order 1, failed 1, slow run 1, caller left 1
-          previews  no room for the rest 1
+          indexes  no capacity for rest 1, unanswered order 1, failed 1, slow run 1, caller left 1
+          previews  no capacity for rest 1
         by entry
-          entry-7  no room for the rest 2, unanswered order 1, failed 1, slow run 1, caller left 1
+          entry-7  no capacity for rest 2, unanswered order 1, failed 1, slow run 1, caller left 1
         by second
-              0  no room for the rest 1, slow run 1
-              1  no room for the rest 1, unanswered order 1, failed 1, caller left 1
+              0  no capacity for rest 1, slow run 1
+              1  no capacity for rest 1, unanswered order 1, failed 1, caller left 1
     "#]]
     .assert_eq(&printed);
     assert_eq!(code, Some(0));
@@ -199,7 +200,7 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("closed");
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("entry-7.log");
-    std::fs::write(&path, CROWDED_ENTRY).unwrap();
+    std::fs::write(&path, BUSY_ENTRY).unwrap();
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
     let mut command = Command::new(env!("CARGO_BIN_EXE_mastknot"));
