--- a/crates/mastknot_standin/src/error.rs
+++ b/crates/mastknot_standin/src/error.rs
@@ -1,17 +1,17 @@
-//! What can go wrong when a stand-in starts.
+//! Errors of starting a stand-in.
 
 use snafu::Snafu;
 
-/// Why a stand-in did not start.
+/// Error of starting a stand-in.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StandInError {
-    /// The address can't be listened at.
-    #[snafu(display("cannot listen at {address}: {source}"))]
+    /// The server could not listen on the address.
+    #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address as given by the caller.
         address: String,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/mastknot_standin/src/lib.rs
+++ b/crates/mastknot_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform: a key-value service, a VM list and a worker.
+//! Stand-ins for the services of a platform: a key-value service, a VM list and a worker.
 //!
-//! They exist for tests, the demo and the bench, and can be told to fail. The key-value service
-//! speaks the part of etcd's v3 JSON gateway that mastknot uses.
+//! Tests, the demo and the benchmark use the stand-ins and can inject faults into them. The
+//! key-value service implements the part of etcd's v3 JSON gateway that mastknot uses.
 //!
 //! This crate has no feature flags.
 
--- a/crates/mastknot_standin/src/main.rs
+++ b/crates/mastknot_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `mastknot-standin`: one stand-in for the platform as a process of its own.
+//! `mastknot-standin`: runs one stand-in as a separate process.
 
 use std::process::ExitCode;
 
@@ -14,7 +14,7 @@
 
 fn listen() -> impl Parser<String> {
     long("listen")
-        .help("Address to listen at; port 0 takes a free one")
+        .help("Address to listen on; port 0 selects a free port")
         .argument::<String>("ADDRESS")
 }
 
@@ -29,7 +29,7 @@
         .command("vms");
     let worker = construct!(Command::Worker { listen() })
         .to_options()
-        .descr("Worker; POST /control sets its faults, GET /starts gives its record")
+        .descr("Worker; POST /control sets its faults, GET /starts returns the recorded starts")
         .command("worker");
     construct!([store, vms, worker])
         .to_options()
@@ -42,24 +42,24 @@
         Command::Store { listen } => {
             let store = StoreStandIn::start(&listen).await?;
             println!("{}", store.address());
-            wait().await;
+            wait_for_interrupt().await;
         }
         Command::Vms { listen } => {
             let vms = VmListStandIn::start(&listen).await?;
             println!("{}", vms.address());
-            wait().await;
+            wait_for_interrupt().await;
         }
         Command::Worker { listen } => {
             let worker = WorkerStandIn::start(&listen).await?;
             println!("{}", worker.address());
-            wait().await;
+            wait_for_interrupt().await;
         }
     }
     Ok(())
 }
 
-async fn wait() {
-    // Ends on the first interrupt; a stand-in has nothing to save.
+async fn wait_for_interrupt() {
+    // The process ends on the first interrupt: a stand-in has no state to save.
     let _ = tokio::signal::ctrl_c().await;
 }
 
--- a/crates/mastknot_standin/src/store/faults.rs
+++ b/crates/mastknot_standin/src/store/faults.rs
@@ -1,17 +1,17 @@
 use serde::{Deserialize, Serialize};
 
-/// What the store stand-in is told to do wrong.
+/// Faults injected into the store stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// Answers every call with 503 at once and ends all watches.
+    /// Whether the store answers every call with status 503 at once and ends all watches.
     pub is_down: bool,
-    /// Waits this long before each answer, in milliseconds.
+    /// Delay before each answer, in milliseconds.
     pub slow_ms: u64,
-    /// Drops the answers of the next writes that took effect: this many.
+    /// Number of coming writes that take effect but are answered with status 504.
     pub lose_answers: u32,
-    /// Lists and newest-revision reads answer from this many revisions ago.
+    /// Number of revisions by which answers to lists and reads of the newest revision are outdated.
     pub stale_revisions: u64,
-    /// Watches stay open and say nothing.
+    /// Whether watches stay open without reporting any changes.
     pub is_watch_silent: bool,
 }
--- a/crates/mastknot_standin/src/store/handler.rs
+++ b/crates/mastknot_standin/src/store/handler.rs
@@ -13,10 +13,10 @@
 use super::StoreFaults;
 use super::state::{Change, State};
 
-/// The longest request body.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
-/// How long a body may take.
-const BODY_TIME: Duration = Duration::from_secs(5);
+/// Timeout for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) type Shared = Arc<Mutex<State>>;
 
@@ -28,7 +28,7 @@
 
 pub(super) async fn handle(state: Shared, request: Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path().to_owned();
-    let Ok(bytes) = read_body(request.into_body(), MAX_BODY, BODY_TIME).await else {
+    let Ok(bytes) = read_body(request.into_body(), MAX_BODY, BODY_TIMEOUT).await else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
     let body: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
@@ -38,7 +38,7 @@
     if path == "/calls" {
         return json_response(StatusCode::OK, &lock(&state).calls);
     }
-    let faults = note_call(&state, &path);
+    let faults = record_call(&state, &path);
     if faults.slow_ms > 0 {
         tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     }
@@ -59,13 +59,13 @@
     };
     let mut state = lock(state);
     state.faults = faults;
-    // Wakes the watches, so that they notice.
+    // Wakes the tasks of open watches so that they apply the new faults.
     let revision = state.revision();
     state.revisions.send_replace(revision);
     json_response(StatusCode::OK, &faults)
 }
 
-fn note_call(state: &Shared, path: &str) -> StoreFaults {
+fn record_call(state: &Shared, path: &str) -> StoreFaults {
     let mut state = lock(state);
     *state.calls.entry(path.to_owned()).or_default() += 1;
     state.faults
@@ -98,7 +98,7 @@
     };
     let to = bytes_of(body, "range_end");
     let state = lock(state);
-    // Only lists can be stale: a single key is what authority hangs on, and is read consistently.
+    // Only lists can be stale. Authority depends on reads of single keys, which are consistent.
     let stale = if to.is_some() {
         faults.stale_revisions
     } else {
@@ -145,7 +145,7 @@
     json_response(StatusCode::OK, &answer)
 }
 
-/// Where one watch stands.
+/// State of one open watch.
 struct Watch {
     state: Shared,
     revisions: tokio::sync::watch::Receiver<u64>,
@@ -189,7 +189,8 @@
         }
     }
 
-    /// The next line if there is one; the outer none ends the watch.
+    /// Returns the next line, or `Some(None)` if there is nothing to report yet, or `None` if the
+    /// watch ends.
     fn poll_line(&mut self) -> Option<Option<Bytes>> {
         self.revisions.mark_unchanged();
         let state = lock(&self.state);
--- a/crates/mastknot_standin/src/store/mod.rs
+++ b/crates/mastknot_standin/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The key-value service.
+//! Stand-in for the key-value service.
 
 mod faults;
 mod handler;
--- a/crates/mastknot_standin/src/store/state.rs
+++ b/crates/mastknot_standin/src/store/state.rs
@@ -4,7 +4,7 @@
 
 use super::StoreFaults;
 
-/// A key's value with its last revision; none is a deletion.
+/// Change of a key at a revision: its new value, or `None` if the key was deleted.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) revision: u64,
@@ -12,7 +12,7 @@
     pub(super) value: Option<Vec<u8>>,
 }
 
-/// All that the store holds: every change since its start, in order.
+/// Contents of the store: every change since its start, in order, and the current values.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) faults: StoreFaults,
@@ -60,7 +60,7 @@
         self.revision
     }
 
-    /// The live keys in a range as they were at a revision.
+    /// Returns the keys of a range that existed at a revision, with their values at that time.
     pub(super) fn range(&self, from: &[u8], to: Option<&[u8]>, at: u64) -> Vec<Change> {
         let mut found: BTreeMap<Vec<u8>, Change> = BTreeMap::new();
         for change in &self.changes {
@@ -76,7 +76,7 @@
         found.into_values().collect()
     }
 
-    /// The changes in a range from a revision on.
+    /// Returns the changes of a range at and after a revision.
     pub(super) fn since(&self, from: &[u8], to: Option<&[u8]>, revision: u64) -> Vec<Change> {
         let start = self.changes.partition_point(|c| c.revision < revision);
         let later = self.changes[start..].iter();
--- a/crates/mastknot_standin/src/store/store_stand_in.rs
+++ b/crates/mastknot_standin/src/store/store_stand_in.rs
@@ -11,7 +11,7 @@
 use crate::StandInError;
 use crate::error::ListenSnafu;
 
-/// A key-value service in this process.
+/// Key-value service that runs in this process.
 #[derive(Debug)]
 pub struct StoreStandIn {
     server: HttpServer,
@@ -19,7 +19,7 @@
 }
 
 impl StoreStandIn {
-    /// Starts the service at an address; port 0 takes a free one.
+    /// Starts the service on an address; port 0 selects a free port.
     pub async fn start(address: &str) -> Result<Self, StandInError> {
         let context = || ListenSnafu { address };
         let listener = TcpListener::bind(address)
@@ -34,12 +34,12 @@
         Ok(Self { server, state })
     }
 
-    /// The address it listens at.
+    /// Returns the address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes what it does wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         let mut state = self.state.lock().expect("no handler panics");
         state.faults = faults;
@@ -47,7 +47,7 @@
         state.revisions.send_replace(revision);
     }
 
-    /// The calls so far, by path.
+    /// Returns the number of calls so far, by path.
     pub fn calls(&self) -> std::collections::BTreeMap<String, u64> {
         self.state.lock().expect("no handler panics").calls.clone()
     }
--- a/crates/mastknot_standin/src/vms/mod.rs
+++ b/crates/mastknot_standin/src/vms/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs.
+//! Stand-in for the platform's list of VMs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,31 +15,32 @@
 use crate::StandInError;
 use crate::error::ListenSnafu;
 
-/// The longest request body.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY: usize = 1024 * 1024;
-/// How long a body may take.
-const BODY_TIME: Duration = Duration::from_secs(5);
+/// Timeout for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether a VM stays.
+/// State of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM runs.
     Live,
-    /// The platform will take it away soon.
+    /// The platform will remove the VM soon.
     Leaving,
 }
 
-/// One VM of the list.
+/// VM in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The name of the side or entry that it carries.
+    /// Name of the side or entry that runs on the VM.
     pub name: String,
-    /// Whether it stays.
+    /// State of the VM.
     pub state: VmState,
 }
 
-/// A VM list in this process. It lags as long as the test that sets it lets it.
+/// VM list that runs in this process. It changes only when a test changes it, so tests decide how
+/// far it lags behind the real VMs.
 #[derive(Debug)]
 pub struct VmListStandIn {
     server: HttpServer,
@@ -47,7 +48,7 @@
 }
 
 impl VmListStandIn {
-    /// Starts the list at an address; port 0 takes a free one.
+    /// Starts the list on an address; port 0 selects a free port.
     pub async fn start(address: &str) -> Result<Self, StandInError> {
         let context = || ListenSnafu { address };
         let listener = TcpListener::bind(address)
@@ -62,19 +63,19 @@
         Ok(Self { server, vms })
     }
 
-    /// The address it listens at.
+    /// Returns the address on which the list listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Puts a VM on the list or changes it.
+    /// Adds a VM to the list or changes its state.
     pub fn set(&self, name: &str, state: VmState) {
         let name = name.to_owned();
         let mut vms = self.vms.lock().expect("no handler panics");
         vms.insert(name.clone(), Vm { name, state });
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove(&self, name: &str) {
         self.vms.lock().expect("no handler panics").remove(name);
     }
@@ -85,7 +86,7 @@
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let path = request.uri().path().to_owned();
-    let Ok(bytes) = read_body(request.into_body(), MAX_BODY, BODY_TIME).await else {
+    let Ok(bytes) = read_body(request.into_body(), MAX_BODY, BODY_TIMEOUT).await else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
     let mut vms = vms.lock().expect("no handler panics");
--- a/crates/mastknot_standin/src/worker/faults.rs
+++ b/crates/mastknot_standin/src/worker/faults.rs
@@ -1,15 +1,15 @@
 use serde::{Deserialize, Serialize};
 
-/// What a worker stand-in is told to do wrong.
+/// Faults injected into a worker stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkerFaults {
-    /// Answers every task at once that it did not run it.
+    /// Whether the worker declines every task: it answers at once that it did not run the task.
     pub is_declining: bool,
-    /// Answers every task at once with status 500; the task counts as started.
+    /// Whether the worker answers every task at once with status 500; the task counts as started.
     pub is_failing: bool,
-    /// Multiplies every task's time, in percent; zero means 100.
+    /// Run time of tasks relative to the time that they ask for, in percent; zero means 100.
     pub slow_percent: u32,
-    /// Runs the task and breaks the connection instead of answering: this many times.
+    /// Number of coming tasks that the worker runs but does not answer: it closes the connection.
     pub lose_answers: u32,
 }
--- a/crates/mastknot_standin/src/worker/mod.rs
+++ b/crates/mastknot_standin/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! The worker: runs tasks by sleeping, and keeps the record of true starts.
+//! Stand-in for a worker: runs tasks by sleeping and records every actual start.
 
 mod faults;
 mod start_record;
--- a/crates/mastknot_standin/src/worker/worker_stand_in.rs
+++ b/crates/mastknot_standin/src/worker/worker_stand_in.rs
@@ -14,34 +14,34 @@
 use crate::StandInError;
 use crate::error::ListenSnafu;
 
-/// The longest task body.
+/// Maximum length of a task body, in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
-/// How long a body may take.
-const BODY_TIME: Duration = Duration::from_secs(5);
-/// The longest that a task can ask to run.
+/// Timeout for receiving a task body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum run time of a task, in milliseconds.
 const MAX_RUN_MS: u64 = 60_000;
 
 #[derive(Debug, Default)]
 struct State {
     faults: WorkerFaults,
     record: StartRecord,
-    /// Whether starts are recorded; a bench of millions switches it off.
+    /// Whether starts are recorded. Benchmarks with millions of tasks switch the record off.
     is_recording: bool,
 }
 
 type Shared = Arc<Mutex<State>>;
 
-/// What a task asks of the worker.
+/// Body of a task.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Work {
-    /// How long it runs, in milliseconds.
+    /// Run time of the task, in milliseconds.
     ms: u64,
-    /// What it answers.
+    /// Value that the worker returns.
     value: Value,
 }
 
-/// A worker in this process.
+/// Worker that runs in this process.
 #[derive(Debug)]
 pub struct WorkerStandIn {
     server: HttpServer,
@@ -49,7 +49,7 @@
 }
 
 impl WorkerStandIn {
-    /// Starts a worker at an address; port 0 takes a free one.
+    /// Starts a worker on an address; port 0 selects a free port.
     pub async fn start(address: &str) -> Result<Self, StandInError> {
         let context = || ListenSnafu { address };
         let listener = TcpListener::bind(address)
@@ -65,27 +65,27 @@
         Ok(Self { server, state })
     }
 
-    /// The address it listens at.
+    /// Returns the address on which the worker listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes what it does wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: WorkerFaults) {
         lock(&self.state).faults = faults;
     }
 
-    /// Switches the record of starts on or off.
+    /// Switches the recording of starts on or off.
     pub fn set_recording(&self, is_recording: bool) {
         lock(&self.state).is_recording = is_recording;
     }
 
-    /// The starts so far.
+    /// Returns the starts recorded so far.
     pub fn record(&self) -> StartRecord {
         lock(&self.state).record.clone()
     }
 
-    /// Stops listening at once.
+    /// Stops the server at once.
     pub fn abort(&self) {
         self.server.abort();
     }
@@ -100,7 +100,7 @@
 async fn handle(state: Shared, request: Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path().to_owned();
     let task = task_of(&request);
-    let Ok(bytes) = read_body(request.into_body(), MAX_BODY, BODY_TIME).await else {
+    let Ok(bytes) = read_body(request.into_body(), MAX_BODY, BODY_TIMEOUT).await else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
     match path.as_str() {
@@ -132,14 +132,14 @@
             return declined();
         }
         if state.is_recording {
-            state.record.note(task);
+            state.record.record_start(task);
         }
         let faults = state.faults;
         state.faults.lose_answers = faults.lose_answers.saturating_sub(1);
         faults
     };
     if faults.is_failing {
-        let error = json!({ "error": "told to fail" });
+        let error = json!({ "error": "injected failure" });
         return json_response(StatusCode::INTERNAL_SERVER_ERROR, &error);
     }
     let percent = if faults.slow_percent == 0 {
@@ -152,13 +152,14 @@
         tokio::time::sleep(Duration::from_millis(run_ms)).await;
     }
     if faults.lose_answers > 0 {
-        // The connection breaks: hyper drops it when a handler panics in its task.
+        // Closes the connection without an answer: hyper drops it when the task of its handler
+        // panics.
         std::panic::resume_unwind(Box::new("answer lost on request"));
     }
     json_response(StatusCode::OK, &json!({ "value": work.value }))
 }
 
-/// The answer that says, for certain, that the task was not run.
+/// Returns the answer that guarantees that the task was not run.
 fn declined() -> Response<ResponseBody> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     let value = HeaderValue::from_static("true");
