--- a/crates/mastknot_harness/src/error.rs
+++ b/crates/mastknot_harness/src/error.rs
@@ -1,46 +1,46 @@
-//! What can go wrong when a system starts.
+//! Errors of starting and configuring a system.
 
 use mastknot_client::ClientError;
 use mastknot_runtime::NodeError;
 use mastknot_standin::StandInError;
 use snafu::Snafu;
 
-/// Why a system did not start.
+/// Error of starting or configuring a system.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HarnessError {
     /// A stand-in did not start.
     #[snafu(display("{source}"), context(false))]
     StandIn {
-        /// Why.
+        /// Underlying error.
         source: StandInError,
     },
     /// An entry or a side did not start.
     #[snafu(display("{source}"), context(false))]
     Node {
-        /// Why.
+        /// Underlying error.
         source: NodeError,
     },
     /// A call to an entry failed.
     #[snafu(display("{source}"), context(false))]
     Client {
-        /// Why.
+        /// Underlying error.
         source: ClientError,
     },
-    /// A resource was not accepted.
+    /// An entry refused to write a resource.
     #[snafu(display("{kind}/{name} was not accepted: {problem}"))]
     NotAccepted {
-        /// The resource's kind.
+        /// Kind of the resource.
         kind: String,
-        /// The resource's name.
+        /// Name of the resource.
         name: String,
-        /// What the entry said.
+        /// Body of the answer of the entry.
         problem: String,
     },
-    /// The system did not settle in time.
-    #[snafu(display("the system did not settle: {what}"))]
+    /// The system did not reach the expected state in time.
+    #[snafu(display("the system did not settle in time: {state}"))]
     NotSettled {
-        /// What was waited for.
-        what: String,
+        /// Last state that was observed.
+        state: String,
     },
 }
--- a/crates/mastknot_harness/src/harness.rs
+++ b/crates/mastknot_harness/src/harness.rs
@@ -11,23 +11,23 @@
 use crate::error::{NotAcceptedSnafu, NotSettledSnafu};
 use crate::{HarnessError, Plan};
 
-/// How long a system may take to settle.
-const SETTLE_LIMIT: Duration = Duration::from_secs(10);
-/// How often it is looked at meanwhile.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a call to an entry may take.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
-
-/// A running system.
+/// Maximum time until a system settles.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time between two reads of the state of a system that has not settled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a call to an entry.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Running system: stand-ins, entries and sides.
 #[derive(Debug)]
 pub struct Harness {
-    /// The key-value service.
+    /// Stand-in for the key-value service.
     pub store: StoreStandIn,
-    /// The VM list.
+    /// Stand-in for the VM list.
     pub vms: VmListStandIn,
-    /// The workers, one for each side.
+    /// Workers, one for each side, in the order of the sides.
     pub workers: Vec<WorkerStandIn>,
-    /// A client for everything.
+    /// HTTP client for calls to all processes of the system.
     pub client: Client,
     plan: Plan,
     entries: Vec<Option<EntryNode>>,
@@ -35,13 +35,13 @@
 }
 
 impl Harness {
-    /// Starts everything and waits until every side has joined every entry.
+    /// Starts all processes of a plan and waits until every side has joined every entry.
     pub async fn start(plan: Plan) -> Result<Self, HarnessError> {
         let mut harness = Self {
             store: StoreStandIn::start("127.0.0.1:0").await?,
             vms: VmListStandIn::start("127.0.0.1:0").await?,
             workers: Vec::new(),
-            client: Client::new(CALL_LIMIT),
+            client: Client::new(CALL_TIMEOUT),
             entries: Vec::new(),
             sides: Vec::new(),
             plan,
@@ -56,7 +56,7 @@
         Ok(harness)
     }
 
-    /// Starts one more entry.
+    /// Starts another entry and returns its index.
     pub async fn add_entry(&mut self) -> Result<usize, HarnessError> {
         let index = self.entries.len();
         let store = self.store.address().to_string();
@@ -67,7 +67,7 @@
         Ok(index)
     }
 
-    /// Starts one more side with its worker.
+    /// Starts another side with its worker and returns its index.
     pub async fn add_side(&mut self) -> Result<usize, HarnessError> {
         let index = self.sides.len();
         let worker = WorkerStandIn::start("127.0.0.1:0").await?;
@@ -86,23 +86,23 @@
             .collect()
     }
 
-    /// An entry that runs.
+    /// Returns an entry, or `None` if it was stopped or crashed.
     pub fn entry(&self, index: usize) -> Option<&EntryNode> {
         self.entries[index].as_ref()
     }
 
-    /// A side that runs.
+    /// Returns a side, or `None` if it was stopped or crashed.
     pub fn side(&self, index: usize) -> Option<&SideNode> {
         self.sides[index].as_ref()
     }
 
-    /// The callers' addresses of the entries that run.
+    /// Returns the addresses for callers of the running entries.
     pub fn callers(&self) -> Vec<SocketAddr> {
         let live = self.entries.iter().flatten();
         live.map(EntryNode::callers_address).collect()
     }
 
-    /// The operators' addresses of the entries that run.
+    /// Returns the addresses for operators of the running entries.
     pub fn operators(&self) -> Vec<SocketAddr> {
         let live = self.entries.iter().flatten();
         live.map(EntryNode::operators_address).collect()
@@ -112,7 +112,7 @@
     pub async fn settle(&self) -> Result<(), HarnessError> {
         let entries = self.entries.iter().flatten().count();
         let sides = self.sides.iter().flatten().count();
-        let deadline = Instant::now() + SETTLE_LIMIT;
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         for operators in self.operators() {
             loop {
                 let roster = self.client.get(operators, "/v1/live/entries").await?.body;
@@ -124,10 +124,10 @@
                     break;
                 }
                 if Instant::now() > deadline {
-                    let what = format!("{roster} {targets}");
-                    return NotSettledSnafu { what }.fail();
+                    let state = format!("{roster} {targets}");
+                    return NotSettledSnafu { state }.fail();
                 }
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -149,7 +149,8 @@
         self.wait_in_force(version).await
     }
 
-    /// Writes a resource at the first entry.
+    /// Writes a resource through the first running entry. The version is the one that the write
+    /// replaces, zero for a new resource.
     pub async fn put(
         &self,
         kind: &str,
@@ -162,27 +163,27 @@
         Ok(self.client.put(self.operators()[0], &path, &body).await?)
     }
 
-    /// Waits until a configuration version is in force on every node, as every entry sees it.
+    /// Waits until every entry reports that a configuration version is in force on every node.
     pub async fn wait_in_force(&self, version: u64) -> Result<(), HarnessError> {
-        let deadline = Instant::now() + SETTLE_LIMIT;
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         for operators in self.operators() {
             loop {
                 let status = self.client.get(operators, "/v1/live/status").await?.body;
-                let is_there = status["version"].as_u64() >= Some(version);
-                if is_there && status["nodes_in_force"] == status["nodes"] {
+                let is_known = status["version"].as_u64() >= Some(version);
+                if is_known && status["nodes_in_force"] == status["nodes"] {
                     break;
                 }
                 if Instant::now() > deadline {
-                    let what = format!("configuration {version}: {status}");
-                    return NotSettledSnafu { what }.fail();
+                    let state = format!("configuration {version}: {status}");
+                    return NotSettledSnafu { state }.fail();
                 }
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// The true starts of all workers.
+    /// Returns the task starts recorded by all workers.
     pub fn starts(&self) -> StartRecord {
         let mut all = StartRecord::default();
         for worker in &self.workers {
@@ -191,27 +192,27 @@
         all
     }
 
-    /// Stops an entry by plan.
+    /// Stops an entry gracefully; returns `None` if it does not run.
     pub async fn stop_entry(&mut self, index: usize) -> Option<StopReport> {
         let entry = self.entries[index].take()?;
         Some(entry.stop().await)
     }
 
-    /// Ends an entry as a crash would.
+    /// Ends an entry abruptly, like a crash.
     pub async fn crash_entry(&mut self, index: usize) {
         if let Some(entry) = self.entries[index].take() {
             entry.abort().await;
         }
     }
 
-    /// Ends a side as a crash would.
+    /// Ends a side abruptly, like a crash.
     pub async fn crash_side(&mut self, index: usize) {
         if let Some(side) = self.sides[index].take() {
             side.abort().await;
         }
     }
 
-    /// Stops a side by plan.
+    /// Stops a side gracefully; returns `None` if it does not run.
     pub async fn stop_side(&mut self, index: usize) -> Option<mastknot_side::StopReport> {
         let side = self.sides[index].take()?;
         Some(side.stop().await)
--- a/crates/mastknot_harness/src/lib.rs
+++ b/crates/mastknot_harness/src/lib.rs
@@ -1,5 +1,6 @@
-//! A whole system in one process on loopback ports: stand-ins, entries and sides, the same code
-//! as the separate processes. For the demo, the bench and tests.
+//! Complete system in one process on loopback ports, for the demo, the benchmark and tests.
+//!
+//! It consists of stand-ins, entries and sides, which run the same code as the separate processes.
 //!
 //! This crate has no feature flags.
 
--- a/crates/mastknot_harness/src/plan.rs
+++ b/crates/mastknot_harness/src/plan.rs
@@ -1,10 +1,10 @@
 use mastknot_entry::EntryFile;
 use mastknot_side::SideFile;
 
-/// The key that each listener's address has in settings, on a free port.
+/// Address of every listener: a free port on loopback.
 const FREE_PORT: &str = "127.0.0.1:0";
 
-/// What a [`Harness`](crate::Harness) starts.
+/// Description of the system that a [`Harness`](crate::Harness) starts.
 ///
 /// # Examples
 ///
@@ -16,22 +16,22 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The halls; entries and sides go round them.
+    /// Halls, to which entries and sides are assigned in turn.
     pub halls: Vec<String>,
-    /// How many entries.
+    /// Number of entries.
     pub entries: usize,
-    /// How many sides, each with a worker.
+    /// Number of sides, each with a worker.
     pub sides: usize,
-    /// Slots of each side.
+    /// Number of slots of each side.
     pub slots: u16,
-    /// The policy's weights: `kalahari` or `co-op`.
+    /// Name of the profile that sets the weights of the policy: `kalahari` or `co-op`.
     pub profile: String,
-    /// Whether the workers keep the record of true starts.
+    /// Whether the workers record the starts of tasks.
     pub is_recording: bool,
 }
 
 impl Plan {
-    /// One entry and one side of eight slots in the first of these halls.
+    /// Returns a plan with one entry and one side of eight slots in the first hall.
     pub fn new<T: Into<String>>(halls: impl IntoIterator<Item = T>) -> Self {
         Self {
             halls: halls.into_iter().map(Into::into).collect(),
@@ -43,32 +43,32 @@
         }
     }
 
-    /// Sets how many entries.
+    /// Sets the number of entries, which must not be zero.
     pub fn entries(mut self, entries: usize) -> Self {
-        debug_assert!(entries > 0, "a plan needs an entry");
+        debug_assert!(entries > 0, "a plan needs at least one entry");
         self.entries = entries;
         self
     }
 
-    /// Sets how many sides.
+    /// Sets the number of sides.
     pub fn sides(mut self, sides: usize) -> Self {
         self.sides = sides;
         self
     }
 
-    /// Sets the slots of each side.
+    /// Sets the number of slots of each side.
     pub fn slots(mut self, slots: u16) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets the policy's weights.
+    /// Sets the profile of the policy.
     pub fn profile(mut self, profile: impl Into<String>) -> Self {
         self.profile = profile.into();
         self
     }
 
-    /// Sets whether the workers keep the record of true starts.
+    /// Sets whether the workers record the starts of tasks.
     pub fn recording(mut self, is_recording: bool) -> Self {
         self.is_recording = is_recording;
         self
@@ -78,7 +78,7 @@
         &self.halls[index % self.halls.len()]
     }
 
-    /// The settings of one entry.
+    /// Returns the settings of the entry with this index.
     pub(crate) fn entry_file(
         &self,
         index: usize,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The settings of one side.
+    /// Returns the settings of the side with this index.
     pub(crate) fn side_file(&self, index: usize, target: String, entries: Vec<String>) -> SideFile {
         SideFile {
             name: format!("side-{}", index + 1),
--- a/crates/mastknot_harness/tests/bad_input.rs
+++ b/crates/mastknot_harness/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a typed error and a counter, runs nothing, and the process goes on.
+//! Invalid input is answered with a typed error and starts no task, and the process keeps working.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// What a caller is told, without the key.
-fn told(body: &Value) -> String {
+/// Returns state, reason and `ran` of an answer, without the key.
+fn answer_summary(body: &Value) -> String {
     let field = |name: &str| body[name].as_str().unwrap_or("-").to_owned();
     let reason = if body["reason"].is_null() {
         field("error")
@@ -55,7 +55,7 @@
     for (name, body) in cases {
         let answer = post(&harness, &body).await;
         let status = answer.status.as_u16();
-        seen += &format!("{name}: {status} {}\n", told(&answer.body));
+        seen += &format!("{name}: {status} {}\n", answer_summary(&answer.body));
     }
     expect![[r#"
         no task: 400 refused bad_task_count not_run
@@ -94,7 +94,10 @@
     assert_eq!(post(&harness, &job(&key, 2)).await.state(), "complete");
     for entry in harness.callers() {
         let answer = harness.client.post(entry, "/v1/jobs", &job(&key, 3)).await;
-        assert_eq!(told(&answer.unwrap().body), "refused key_reused not_run");
+        assert_eq!(
+            answer_summary(&answer.unwrap().body),
+            "refused key_reused not_run"
+        );
     }
     assert_eq!(harness.starts().total(), 2);
 }
@@ -113,7 +116,7 @@
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(&[0xff; 4096]).await.unwrap();
         let mut rest = Vec::new();
-        // The other end closes or resets the connection; either is fine.
+        // The entry may either close or reset the connection.
         let _ = stream.read_to_end(&mut rest).await;
     }
     assert_still_works(&harness).await;
--- a/crates/mastknot_harness/tests/drained_halls.rs
+++ b/crates/mastknot_harness/tests/drained_halls.rs
@@ -1,4 +1,5 @@
-//! Operators drain a hall and return it: over real sockets, through the resource interface.
+//! Operators drain a hall and return it to service through the resource interface, over real
+//! sockets.
 
 mod common;
 
@@ -8,13 +9,13 @@
 
 const KIND: &str = "drained-hall";
 
-/// How many tasks each worker has started.
+/// Returns the number of tasks that each worker has started.
 fn starts(harness: &Harness) -> Vec<u64> {
     let workers = harness.workers.iter();
     workers.map(|worker| worker.record().total()).collect()
 }
 
-/// A job whose tasks last.
+/// Returns a job of twelve tasks that run for 30 milliseconds each.
 fn long_job() -> Value {
     let mut body = job(&key(0), 12);
     for task in body["tasks"].as_array_mut().unwrap() {
@@ -29,7 +30,7 @@
     answer.unwrap().body["version"].as_u64().unwrap()
 }
 
-async fn give_back(harness: &Harness, hall: &str) {
+async fn return_to_service(harness: &Harness, hall: &str) {
     let version = version_of(harness, hall).await;
     let path = format!("/v1/resources/{KIND}/{hall}?version={version}");
     let answer = harness.client.delete(harness.operators()[0], &path).await;
@@ -52,8 +53,8 @@
     let drained = starts(&harness);
     assert_eq!(drained[0], before[0], "nothing starts in hall-1");
     assert!(drained[1] > before[1]);
-    give_back(&harness, "hall-1").await;
-    // Twelve tasks that last fill the four slots of the other hall three times over.
+    return_to_service(&harness, "hall-1").await;
+    // The twelve tasks of a long job fill the four slots of the other hall three times over.
     let mut jobs = 0;
     while starts(&harness)[0] == drained[0] {
         jobs += 1;
--- a/crates/mastknot_harness/tests/hall_shares.rs
+++ b/crates/mastknot_harness/tests/hall_shares.rs
@@ -1,4 +1,4 @@
-//! Operators weigh halls: through the resource interface, over real sockets.
+//! Operators set the weights of halls through the resource interface, over real sockets.
 
 mod common;
 
--- a/crates/mastknot_harness/tests/issued_keys.rs
+++ b/crates/mastknot_harness/tests/issued_keys.rs
@@ -1,4 +1,4 @@
-//! Keys that an entry issues are held by it, so that nothing is sent on.
+//! An entry owns the keys that it issues, so that jobs with such keys are not forwarded.
 
 mod common;
 
