--- a/crates/mastknot_load/src/bench/arms/arm.rs
+++ b/crates/mastknot_load/src/bench/arms/arm.rs
@@ -1,28 +1,29 @@
 use std::str::FromStr;
 
-/// A baseline that queues tasks at the targets, or the ideal.
+/// Policy that the credits are compared with: one that queues tasks at the targets, or the ideal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Baseline {
-    /// Any side.
+    /// Sends each task to a random side.
     Random,
-    /// The side with the least load as last reported, some time ago.
+    /// Sends each task to the side that last reported the least load. Reports are periodic, so they
+    /// may be outdated.
     LeastReported,
-    /// The better of two sides that are asked first.
+    /// Asks two random sides for their load and sends the task to the less loaded one.
     TwoProbes,
-    /// One central queue that sees all slots at once.
+    /// Keeps one central queue that knows the state of all slots without delay.
     Omniscient,
 }
 
-/// One policy.
+/// Policy of one arm of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arm {
-    /// Slot credits with late binding: the real cores.
+    /// Slot credits with late binding, run by the real entry and side cores.
     Credits,
-    /// A baseline.
+    /// Baseline that pushes tasks, or the omniscient queue.
     Pushed(Baseline),
 }
 
-/// All arms with their names.
+/// All arms with the names that the command line uses.
 const ARMS: [(&str, Arm); 5] = [
     ("credits", Arm::Credits),
     ("random", Arm::Pushed(Baseline::Random)),
@@ -32,7 +33,7 @@
 ];
 
 impl Arm {
-    /// Its name.
+    /// Returns the name that the command line and reports use.
     pub fn name(self) -> &'static str {
         let found = ARMS.iter().find(|(_, arm)| *arm == self);
         found.map_or("", |(name, _)| name)
@@ -47,7 +48,7 @@
         found.map(|(_, arm)| *arm).ok_or_else(|| {
             let names: Vec<&str> = ARMS.iter().map(|(name, _)| *name).collect();
             format!(
-                "{text:?} is no policy; the policies are {}",
+                "{text:?} is not a policy; the policies are {}",
                 names.join(", ")
             )
         })
--- a/crates/mastknot_load/src/bench/arms/credits.rs
+++ b/crates/mastknot_load/src/bench/arms/credits.rs
@@ -1,4 +1,4 @@
-//! The real cores in virtual time.
+//! Runs the real entry and side cores in virtual time.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use super::super::{BenchProfile, Outcome, Workload};
 
-/// How long rosters and configuration settle before arrivals come.
-const SETTLE: Duration = Duration::from_secs(5);
-/// How long after the last arrival answers are waited for.
-const TAIL: Duration = Duration::from_secs(40);
+/// Time for rosters and configuration to settle before the first arrival.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Time after the last arrival during which answers are awaited.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What the real cores did with a workload.
+/// Result of running a workload on the real cores.
 #[derive(Debug)]
 pub(crate) struct CreditsRun {
     pub(crate) outcomes: Vec<Outcome>,
@@ -27,7 +27,7 @@
     pub(crate) violations: usize,
 }
 
-/// Runs a workload through entries and sides.
+/// Runs a workload through entries and sides in virtual time.
 #[allow(clippy::too_many_arguments)]
 pub(crate) fn run_credits(
     profile: BenchProfile,
@@ -55,7 +55,7 @@
         system.add_side(&format!("hall-{}", index % profile.halls() + 1), slots);
     }
     system.write_resource("service", "run", r#"{"path":"/run","typical_ms":130}"#);
-    system.run_for(SETTLE);
+    system.run_for(SETTLE_TIME);
     let before = system.messages.clone();
     let start = system.now();
     let last = workload.arrivals.last().map_or(0, |arrival| arrival.at);
@@ -63,14 +63,14 @@
     for arrival in &workload.arrivals {
         let mut submission = arrival.submission.clone();
         let at = start + arrival.at;
-        // The key is made when it is sent, by the caller's clock.
+        // Callers create the key when they send the submission, by their own clock.
         submission.key = SubmissionKey::new(system.wall_at(at), u128_of(submission.key));
         if issued_keys {
-            submission.key = held_key(&system, arrival.entry, submission.key, at);
+            submission.key = owned_key(&system, arrival.entry, submission.key, at);
         }
         requests.push(system.submit_at(at, arrival.entry, submission));
     }
-    system.run_for(Duration::from_micros(last) + TAIL);
+    system.run_for(Duration::from_micros(last) + ANSWER_TIMEOUT);
     let mut refused = 0;
     let outcome = |request: &u64| {
         let submitted = system.request(*request);
@@ -102,16 +102,16 @@
     }
 }
 
-/// A key that the entry holds, as it would issue it.
-fn held_key(system: &VirtualSystem, entry: usize, first: SubmissionKey, at: u64) -> SubmissionKey {
-    let holds = |key: &SubmissionKey| {
+/// Returns a key that the entry owns, like a key that the entry would issue.
+fn owned_key(system: &VirtualSystem, entry: usize, first: SubmissionKey, at: u64) -> SubmissionKey {
+    let is_owned = |key: &SubmissionKey| {
         let core = system.entry(entry);
         core.is_some_and(|core| core.membership().holds(*key))
     };
     let random = u128_of(first);
     (0..1_000)
-        .map(|step| SubmissionKey::new(system.wall_at(at), random.wrapping_add(step)))
-        .find(holds)
+        .map(|offset| SubmissionKey::new(system.wall_at(at), random.wrapping_add(offset)))
+        .find(is_owned)
         .unwrap_or(first)
 }
 
--- a/crates/mastknot_load/src/bench/arms/mod.rs
+++ b/crates/mastknot_load/src/bench/arms/mod.rs
@@ -1,4 +1,4 @@
-//! What is compared.
+//! Arms of a comparison and the simulations that run them.
 
 mod arm;
 mod credits;
--- a/crates/mastknot_load/src/bench/arms/pushed.rs
+++ b/crates/mastknot_load/src/bench/arms/pushed.rs
@@ -1,4 +1,4 @@
-//! Baselines that push tasks to targets, and the omniscient queue.
+//! Simulation of baselines that push tasks to targets, and of the omniscient queue.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
@@ -10,18 +10,18 @@
 use super::super::{Outcome, Workload};
 use super::Baseline;
 
-/// How often sides report their load to entries, in microseconds.
+/// Time between two load reports of the sides to the entries, in microseconds.
 const REPORT_INTERVAL: u64 = 100_000;
 
-/// One task on its way: the arrival's and the task's place.
+/// Task, as the index of its arrival in the workload and its index in the job.
 type Task = (usize, usize);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(usize),
-    Reaches { side: usize, task: Task },
-    Ends { side: usize, task: Task },
-    Reports,
+    ArrivalDue(usize),
+    TaskReceived { side: usize, task: Task },
+    TaskEnded { side: usize, task: Task },
+    LoadReportsDue,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -32,7 +32,7 @@
     reported: usize,
 }
 
-/// What a baseline did with a workload.
+/// Result of running a workload with a baseline.
 #[derive(Debug)]
 pub(crate) struct PushedRun {
     pub(crate) outcomes: Vec<Outcome>,
@@ -40,7 +40,7 @@
     pub(crate) messages: u64,
 }
 
-struct Pushed<'a> {
+struct Simulation<'a> {
     baseline: Baseline,
     workload: &'a Workload,
     delays: Delays,
@@ -49,16 +49,17 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     order: u64,
     rng: StdRng,
-    missing: Vec<usize>,
+    unanswered: Vec<usize>,
     done_at: Vec<u64>,
-    /// The omniscient queue: submissions by the tasks they have left to start.
-    central: BTreeSet<(usize, usize)>,
+    /// Queue of the omniscient baseline: the number of tasks that a submission has left to start,
+    /// with the index of its arrival.
+    central_queue: BTreeSet<(usize, usize)>,
     next_task: Vec<usize>,
     starts: u64,
     messages: u64,
 }
 
-/// Runs a workload through a baseline.
+/// Simulates a workload with a baseline.
 pub(crate) fn run_pushed(
     baseline: Baseline,
     workload: &Workload,
@@ -73,7 +74,7 @@
         free: usize::from(slots),
         ..Side::default()
     };
-    let mut run = Pushed {
+    let mut run = Simulation {
         baseline,
         workload,
         delays,
@@ -82,9 +83,9 @@
         events: BinaryHeap::new(),
         order: 0,
         rng: StdRng::seed_from_u64(seed),
-        missing: workload.arrivals.iter().map(|a| a.runs.len()).collect(),
+        unanswered: workload.arrivals.iter().map(|a| a.runs.len()).collect(),
         done_at: vec![0; count],
-        central: BTreeSet::new(),
+        central_queue: BTreeSet::new(),
         next_task: vec![0; count],
         starts: 0,
         messages: 0,
@@ -101,7 +102,7 @@
     }
 }
 
-impl Pushed<'_> {
+impl Simulation<'_> {
     fn add(&mut self, at: u64, event: Event) {
         self.order += 1;
         self.events.push(Reverse((at, self.order, event)));
@@ -111,77 +112,82 @@
         let to_entry = self.delays.to_callers.as_micros() as u64;
         for index in 0..self.workload.arrivals.len() {
             let at = self.workload.arrivals[index].at + to_entry;
-            self.add(at, Event::Arrives(index));
+            self.add(at, Event::ArrivalDue(index));
         }
         if self.baseline == Baseline::LeastReported {
-            self.add(0, Event::Reports);
+            self.add(0, Event::LoadReportsDue);
         }
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             match event {
-                Event::Arrives(arrival) => self.arrives(now, arrival),
-                Event::Reaches { side, task } => self.reaches(now, side, task),
-                Event::Ends { side, task } => self.ends(now, side, task),
-                Event::Reports => self.reports(now),
+                Event::ArrivalDue(arrival) => self.on_arrival(now, arrival),
+                Event::TaskReceived { side, task } => self.on_task_received(now, side, task),
+                Event::TaskEnded { side, task } => self.on_task_ended(now, side, task),
+                Event::LoadReportsDue => self.on_load_reports(now),
             }
         }
     }
 
-    fn trip(&self, entry: usize, side: usize) -> u64 {
+    fn one_way_delay(&self, entry: usize, side: usize) -> u64 {
         let is_near = entry % self.halls == side % self.halls;
-        let trip = if is_near {
+        let delay = if is_near {
             self.delays.within_hall
         } else {
             self.delays.between_halls
         };
-        trip.as_micros() as u64
+        delay.as_micros() as u64
     }
 
-    fn arrives(&mut self, now: u64, arrival: usize) {
+    fn on_arrival(&mut self, now: u64, arrival: usize) {
         let count = self.workload.arrivals[arrival].runs.len();
         if self.baseline == Baseline::Omniscient {
-            self.central.insert((count, arrival));
+            self.central_queue.insert((count, arrival));
             return self.start_central(now);
         }
         let entry = self.workload.arrivals[arrival].entry;
         for task in 0..count {
             let (side, probing) = self.choose(entry);
-            let at = now + probing + self.trip(entry, side);
+            let at = now + probing + self.one_way_delay(entry, side);
             self.messages += 1;
-            // The sender counts what it has sent until the next report.
+            // Until the next report, the sender adds the tasks that it has sent.
             self.sides[side].reported += 1;
             let task = (arrival, task);
-            self.add(at, Event::Reaches { side, task });
+            self.add(at, Event::TaskReceived { side, task });
         }
     }
 
-    /// The side for a task, and the time that choosing takes.
+    /// Returns the side for a task and the time that the choice takes, in microseconds.
     fn choose(&mut self, entry: usize) -> (usize, u64) {
-        let any = |rng: &mut StdRng, count: usize| rng.random_range(0..count);
+        let random_index = |rng: &mut StdRng, count: usize| rng.random_range(0..count);
         let count = self.sides.len();
         match self.baseline {
-            Baseline::Random | Baseline::Omniscient => (any(&mut self.rng, count), 0),
+            Baseline::Random | Baseline::Omniscient => (random_index(&mut self.rng, count), 0),
             Baseline::LeastReported => {
                 let least = self.sides.iter().map(|side| side.reported).min();
                 let best: Vec<usize> = (0..count)
                     .filter(|index| Some(self.sides[*index].reported) == least)
                     .collect();
-                (best[any(&mut self.rng, best.len())], 0)
+                (best[random_index(&mut self.rng, best.len())], 0)
             }
             Baseline::TwoProbes => {
-                let (a, b) = (any(&mut self.rng, count), any(&mut self.rng, count));
+                let (a, b) = (
+                    random_index(&mut self.rng, count),
+                    random_index(&mut self.rng, count),
+                );
                 self.messages += 4;
                 let better = if self.sides[b].load < self.sides[a].load {
                     b
                 } else {
                     a
                 };
-                let probing = 2 * self.trip(entry, a).max(self.trip(entry, b));
+                let probing = 2 * self
+                    .one_way_delay(entry, a)
+                    .max(self.one_way_delay(entry, b));
                 (better, probing)
             }
         }
     }
 
-    fn reaches(&mut self, now: u64, side: usize, task: Task) {
+    fn on_task_received(&mut self, now: u64, side: usize, task: Task) {
         self.sides[side].load += 1;
         self.sides[side].queue.push_back(task);
         self.start_queued(now, side);
@@ -200,22 +206,22 @@
         self.sides[side].free -= 1;
         self.starts += 1;
         let run = self.workload.arrivals[task.0].runs[task.1];
-        self.add(now + run, Event::Ends { side, task });
+        self.add(now + run, Event::TaskEnded { side, task });
     }
 
-    fn ends(&mut self, now: u64, side: usize, task: Task) {
+    fn on_task_ended(&mut self, now: u64, side: usize, task: Task) {
         self.sides[side].free += 1;
         self.sides[side].load = self.sides[side].load.saturating_sub(1);
         self.messages += 1;
         let arrival = &self.workload.arrivals[task.0];
-        // The omniscient queue's target stands beside its entry.
-        let back = if self.baseline == Baseline::Omniscient {
+        // For the omniscient queue, every target counts as in the hall of its entry.
+        let return_delay = if self.baseline == Baseline::Omniscient {
             self.delays.within_hall.as_micros() as u64
         } else {
-            self.trip(arrival.entry, side)
+            self.one_way_delay(arrival.entry, side)
         };
-        self.missing[task.0] -= 1;
-        let answered = now + back + self.delays.to_callers.as_micros() as u64;
+        self.unanswered[task.0] -= 1;
+        let answered = now + return_delay + self.delays.to_callers.as_micros() as u64;
         self.done_at[task.0] = self.done_at[task.0].max(answered);
         if self.baseline == Baseline::Omniscient {
             self.start_central(now);
@@ -224,30 +230,30 @@
         }
     }
 
-    /// Starts the tasks of the submission with the fewest left, on any free slot.
+    /// Starts tasks on all free slots, those of the submission with the fewest tasks left first.
     fn start_central(&mut self, now: u64) {
         while let Some(side) = self.sides.iter().position(|side| side.free > 0) {
-            let Some((left, arrival)) = self.central.pop_first() else {
+            let Some((left, arrival)) = self.central_queue.pop_first() else {
                 return;
             };
             let task = self.next_task[arrival];
             self.next_task[arrival] += 1;
             if left > 1 {
-                self.central.insert((left - 1, arrival));
+                self.central_queue.insert((left - 1, arrival));
             }
             self.messages += 1;
             self.start(now, side, (arrival, task));
         }
     }
 
-    fn reports(&mut self, now: u64) {
+    fn on_load_reports(&mut self, now: u64) {
         for side in &mut self.sides {
             side.reported = side.load;
         }
         let entries = self.workload.arrivals.iter().map(|a| a.entry).max();
         self.messages += (self.sides.len() * (entries.unwrap_or(0) + 1)) as u64;
         if !self.events.is_empty() {
-            self.add(now + REPORT_INTERVAL, Event::Reports);
+            self.add(now + REPORT_INTERVAL, Event::LoadReportsDue);
         }
     }
 }
--- a/crates/mastknot_load/src/bench/compare.rs
+++ b/crates/mastknot_load/src/bench/compare.rs
@@ -7,41 +7,41 @@
 use super::report::quantile;
 use super::{Arm, ArmReport, Baseline, BenchProfile, Outcome, Workload, WorkloadPlan};
 
-/// What is compared.
+/// Plan of a comparison.
 #[derive(Clone, Debug)]
 pub struct ComparePlan {
-    /// The user's places and weights.
+    /// Halls, network delays and default policy weights.
     pub profile: BenchProfile,
-    /// The weights, if not the profile's own.
+    /// Policy weights that replace those of the profile.
     pub policy: Option<Profile>,
-    /// The order of a customer's submissions.
+    /// Order in which the submissions of a customer are started.
     pub order: JobOrder,
-    /// The arms, run in turns on the same arrivals.
+    /// Arms, run in turn on the same arrivals.
     pub arms: Vec<Arm>,
-    /// The seeds.
+    /// Seeds of the arrivals.
     pub seeds: Vec<u64>,
-    /// Load as a share of the slots.
+    /// Load as a share of the capacity of all slots.
     pub load: f64,
-    /// How long arrivals come, in seconds.
+    /// Time during which submissions arrive, in seconds.
     pub seconds: u32,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Sides.
+    /// Number of sides.
     pub sides: usize,
-    /// Slots of each side.
+    /// Number of slots of each side.
     pub slots: u16,
-    /// The share of arrivals that the first entry gets.
+    /// Share of arrivals that the first entry gets; the other entries share the rest.
     pub first_entry_share: f64,
-    /// Whether callers use keys that the entry which they call has issued.
+    /// Whether callers use keys issued by the entry that they call.
     pub issued_keys: bool,
-    /// The largest job.
+    /// Maximum number of tasks of a job.
     pub max_job: u32,
-    /// The deadline of submissions, in milliseconds; zero takes the usual one.
+    /// Deadline of submissions, in milliseconds; zero selects the default of the workload.
     pub deadline_ms: u32,
 }
 
 impl ComparePlan {
-    /// A dozen workers of 8 slots and two entries at 0.75 load.
+    /// Returns a plan with 12 sides of 8 slots and two entries at a load of 0.75.
     pub fn new(profile: BenchProfile) -> Self {
         Self {
             profile,
@@ -76,7 +76,8 @@
     }
 }
 
-/// Runs every arm on the arrivals of every seed, in turns: A B A B.
+/// Runs every arm on the arrivals of every seed. The arms take turns: all arms run on one seed
+/// before the next seed.
 pub fn compare(plan: &ComparePlan) -> Vec<ArmReport> {
     let mut reports = Vec::new();
     for seed in &plan.seeds {
@@ -111,13 +112,13 @@
         baseline, workload, delays, halls, plan.sides, plan.slots, seed,
     );
     let report = ArmReport {
-        messages_per_task: per(run.messages, run.starts),
+        messages_per_task: per_task(run.messages, run.starts),
         ..ArmReport::default()
     };
     (run.outcomes, report)
 }
 
-fn per(count: u64, tasks: u64) -> f64 {
+fn per_task(count: u64, tasks: u64) -> f64 {
     count as f64 / tasks.max(1) as f64
 }
 
@@ -133,10 +134,13 @@
         plan.entries,
         plan.issued_keys,
     );
-    debug_assert_eq!(run.violations, 0, "a promise was broken on the bench");
+    debug_assert_eq!(
+        run.violations, 0,
+        "the audit found violations in the benchmark"
+    );
     let mut report = ArmReport {
-        messages_per_task: per(run.messages, run.starts),
-        wasted_per_task: per(wasted(&run), run.starts),
+        messages_per_task: per_task(run.messages, run.starts),
+        wasted_per_task: per_task(wasted(&run), run.starts),
         refused: run.refused,
         ..ArmReport::default()
     };
@@ -144,14 +148,17 @@
         let is_work = matches!(format!("{kind:?}").as_str(), "Start" | "Answer");
         if !is_work && *count > 0 {
             let name = format!("{kind:?}").to_lowercase();
-            report.other_per_task.insert(name, per(*count, run.starts));
+            report
+                .other_per_task
+                .insert(name, per_task(*count, run.starts));
         }
     }
     fill_responses(&mut report, plan, workload, &run.outcomes, ideal);
     report
 }
 
-/// Messages that brought nothing: refused starts with their refusals, and stops.
+/// Returns the number of wasted messages: refused starts with their refusals, stops, and answers
+/// that matched no open task.
 fn wasted(run: &CreditsRun) -> u64 {
     let of = |counters: &mastknot_core::dispatch::DispatchCounters| {
         let refused = counters.retried_stale_credit
@@ -179,8 +186,8 @@
     report.response_over_omniscient_p50 = ratio(&mut ours, &mut best, 0.5);
     report.response_over_omniscient_p99 = ratio(&mut ours, &mut best, 0.99);
     let delays = plan.profile.delays();
-    let trips = 2 * (delays.to_callers + delays.within_hall);
-    let mut over = over_own_ideal(workload, outcomes, trips);
+    let round_trips = 2 * (delays.to_callers + delays.within_hall);
+    let mut over = ratios_to_own_ideal(workload, outcomes, round_trips);
     report.response_over_ideal_p50 = quantile(&mut over, 0.5);
     report.response_over_ideal_p99 = quantile(&mut over, 0.99);
     report.response_over_ideal_p999 = quantile(&mut over, 0.999);
@@ -195,11 +202,15 @@
     report.goodput = work as f64 / (slots * f64::from(plan.seconds) * 1e6);
 }
 
-fn over_own_ideal(workload: &Workload, outcomes: &[Outcome], trips: Duration) -> Vec<f64> {
+fn ratios_to_own_ideal(
+    workload: &Workload,
+    outcomes: &[Outcome],
+    round_trips: Duration,
+) -> Vec<f64> {
     let pairs = workload.arrivals.iter().zip(outcomes);
     let ratio = |(arrival, outcome): (&super::Arrival, &Outcome)| {
         let longest = arrival.runs.iter().max().copied().unwrap_or(0);
-        let ideal = longest + trips.as_micros() as u64;
+        let ideal = longest + round_trips.as_micros() as u64;
         outcome
             .response
             .map(|response| response as f64 / ideal as f64)
@@ -207,13 +218,13 @@
     pairs.filter_map(ratio).collect()
 }
 
-/// The median of one figure over reports of one arm.
+/// Returns the median of a value over the reports of one arm.
 pub(crate) fn median_of(reports: &[ArmReport], value: fn(&ArmReport) -> f64) -> f64 {
     let mut values: Vec<f64> = reports.iter().map(value).collect();
     quantile(&mut values, 0.5)
 }
 
-/// The medians over the seeds of each arm, as a table.
+/// Formats the medians over the seeds of each arm as a Markdown table.
 pub fn format_table(reports: &[ArmReport]) -> String {
     let mut arms: Vec<&str> = Vec::new();
     for report in reports {
--- a/crates/mastknot_load/src/bench/mod.rs
+++ b/crates/mastknot_load/src/bench/mod.rs
@@ -1,9 +1,9 @@
-//! Policies compared on the same arrivals, in virtual time.
+//! Comparison of policies on the same arrivals, in virtual time.
 //!
 //! The arm `credits` runs the real cores. The arms `random`, `least-reported` and `two-probes`
-//! are baselines: they push a task to a side at once, where it queues. `omniscient` is one
-//! central queue that sees every slot without delay and starts the shortest remaining
-//! submission first; it is the ideal that the others are measured against.
+//! are baselines: they push a task at once to a side, where it queues. `omniscient` is a central
+//! queue that knows the state of every slot without delay and starts the submission with the fewest
+//! remaining tasks first; it is the ideal that the other arms are measured against.
 
 mod arms;
 mod compare;
--- a/crates/mastknot_load/src/bench/profile.rs
+++ b/crates/mastknot_load/src/bench/profile.rs
@@ -3,17 +3,17 @@
 use mastknot_core::config::Profile;
 use mastknot_virtual::Delays;
 
-/// A user's places and weights.
+/// Halls, network delays and policy weights of one organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BenchProfile {
-    /// Three halls, response time first.
+    /// Three halls; the weights favour short response times.
     Kalahari,
-    /// Four halls, wasted messages first.
+    /// Four halls; the weights favour few wasted messages.
     CoOp,
 }
 
 impl BenchProfile {
-    /// Its name.
+    /// Returns the name that the command line uses.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Kalahari => "kalahari",
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Its halls.
+    /// Returns the number of halls.
     pub const fn halls(self) -> usize {
         match self {
             Self::Kalahari => 3,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Its delays.
+    /// Returns the network delays within and between halls and to callers.
     pub const fn delays(self) -> Delays {
         match self {
             Self::Kalahari => Delays::KALAHARI,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Its weights of the policy.
+    /// Returns the weights of the policy.
     pub const fn policy(self) -> Profile {
         match self {
             Self::Kalahari => Profile::kalahari(),
@@ -54,7 +54,7 @@
             "kalahari" => Ok(Self::Kalahari),
             "co-op" => Ok(Self::CoOp),
             _ => Err(format!(
-                "{text:?} is no profile; the profiles are kalahari, co-op"
+                "{text:?} is not a profile; the profiles are kalahari, co-op"
             )),
         }
     }
--- a/crates/mastknot_load/src/bench/workload/mod.rs
+++ b/crates/mastknot_load/src/bench/workload/mod.rs
@@ -1,4 +1,4 @@
-//! Arrivals that do not wait for answers.
+//! Open-loop workload: submissions arrive independent of the answers to earlier ones.
 
 use mastknot_core::message::{Payload, Submission, SubmissionKind};
 use mastknot_core::types::{SubmissionKey, WallTime};
@@ -7,13 +7,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 
-/// The shortest and the longest task, in microseconds.
+/// Minimum and maximum run time of a task, in microseconds.
 const TASK_MICROS: (f64, f64) = (50_000.0, 500_000.0);
-/// The median of task times, in microseconds.
+/// Median run time of tasks, in microseconds.
 const MEDIAN_MICROS: f64 = 110_000.0;
-/// The spread of task times.
+/// Standard deviation of the logarithm of run times.
 const SPREAD: f64 = 0.6;
-/// Sizes of jobs, with how often each comes: most are small, some are very large.
+/// Job sizes in tasks with their relative frequencies: most jobs are small, some are very large.
 const JOB_SIZES: [(u32, u32); 8] = [
     (1, 400),
     (2, 200),
@@ -24,58 +24,58 @@
     (256, 12),
     (1_000, 3),
 ];
-/// Customers in a team.
+/// Number of customers in a team.
 const CUSTOMERS: u32 = 40;
-/// How unequal customers are.
+/// Exponent of the Zipf distribution of submissions over customers.
 const CUSTOMER_SKEW: f64 = 1.1;
-/// The deadline of submissions, in milliseconds.
+/// Default deadline of submissions, in milliseconds.
 const DEADLINE_MS: u32 = 30_000;
 
-/// What arrives.
+/// Parameters of a workload.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkloadPlan {
-    /// The seed.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// Slots of all targets together.
+    /// Number of slots of all targets together.
     pub slots: u32,
-    /// Load as a share of the slots.
+    /// Load as a share of the capacity of all slots.
     pub load: f64,
-    /// How long arrivals come, in seconds.
+    /// Time during which submissions arrive, in seconds.
     pub seconds: u32,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// The share of arrivals that the first entry gets; the others share the rest.
+    /// Share of arrivals that the first entry gets; the other entries share the rest.
     pub first_entry_share: f64,
-    /// Teams.
+    /// Number of teams.
     pub teams: u32,
-    /// The largest job.
+    /// Maximum number of tasks of a job.
     pub max_job: u32,
-    /// The deadline of submissions, in milliseconds; zero takes the usual one.
+    /// Deadline of submissions, in milliseconds; zero selects `DEADLINE_MS`.
     pub deadline_ms: u32,
 }
 
-/// One arrival.
+/// Arrival of one submission.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, in microseconds.
+    /// Time since the start of the workload, in microseconds.
     pub at: u64,
-    /// At which entry.
+    /// Index of the entry that gets the submission.
     pub entry: usize,
-    /// What.
+    /// Submission whose key is replaced when it is sent.
     pub submission: Submission,
-    /// How long each task runs, in microseconds.
+    /// Run time of each task, in microseconds.
     pub runs: Vec<u64>,
 }
 
-/// Arrivals in the order of their times.
+/// Arrivals in order of time.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// The arrivals.
+    /// Arrivals in order of time, from the start of the workload.
     pub arrivals: Vec<Arrival>,
 }
 
 impl Workload {
-    /// Makes the arrivals of a plan; the same plan gives the same arrivals.
+    /// Generates the arrivals of a plan. Equal plans give equal arrivals.
     pub fn new(plan: &WorkloadPlan) -> Self {
         let mut rng = StdRng::seed_from_u64(plan.seed);
         let sizes: Vec<(u32, u32)> = JOB_SIZES
@@ -89,7 +89,8 @@
         let mean_size = f64::from(tasks) / f64::from(weight);
         let per_micro = f64::from(plan.slots) * plan.load / (mean_run * mean_size);
         let gap = Exp::new(per_micro).expect("the rate is positive");
-        let customer = Zipf::new(f64::from(CUSTOMERS), CUSTOMER_SKEW).expect("the skew is good");
+        let customer =
+            Zipf::new(f64::from(CUSTOMERS), CUSTOMER_SKEW).expect("the exponent is valid");
         let end = f64::from(plan.seconds) * 1e6;
         let mut at = 0.0;
         let mut arrivals = Vec::new();
@@ -100,7 +101,7 @@
             }
             let size = sizes
                 .choose_weighted(&mut rng, |(_, weight)| *weight)
-                .expect("there are sizes")
+                .expect("at least one job size is allowed")
                 .0;
             let runs: Vec<u64> = (0..size).map(|_| sample_run(&run, &mut rng)).collect();
             let entry = pick_entry(plan, &mut rng);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// All tasks.
+    /// Returns the number of all tasks.
     pub fn tasks(&self) -> u64 {
         self.arrivals
             .iter()
@@ -125,13 +126,13 @@
             .sum()
     }
 
-    /// The work of all tasks, in microseconds.
+    /// Returns the total run time of all tasks, in microseconds.
     pub fn work_micros(&self) -> u64 {
         self.arrivals.iter().flat_map(|arrival| &arrival.runs).sum()
     }
 }
 
-/// The mean of the clamped distribution, from fixed draws.
+/// Returns the mean of the clamped distribution of run times, estimated with a fixed seed.
 fn mean_run_micros(run: &LogNormal<f64>) -> f64 {
     const DRAWS: u32 = 20_000;
     let mut rng = StdRng::seed_from_u64(0);
--- a/crates/mastknot_load/src/curve/mod.rs
+++ b/crates/mastknot_load/src/curve/mod.rs
@@ -1,4 +1,4 @@
-//! The trade between response time and messages, as a curve over the policy's weights.
+//! Trade-off between response time and messages, as a curve over the weights of the policy.
 
 use std::path::Path;
 
@@ -9,30 +9,31 @@
 use crate::bench::{Arm, BenchProfile, ComparePlan, compare, median_of};
 use crate::error::LoadError;
 
-/// The size of the picture, in pixels.
+/// Size of the plot, in pixels.
 const SIZE: (u32, u32) = (900, 560);
-/// The weights that are varied together: `ask_interval_ms` and `lend_batch`.
+/// Values of `ask_interval_ms` and `lend_batch`, one pair for each point of the curve.
 const WEIGHTS: [(u32, u32); 6] = [(2, 1), (5, 4), (10, 8), (20, 16), (40, 32), (80, 64)];
 
-/// One point of the curve.
+/// Point of the curve: two weights of the policy and the results measured with them.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TradePoint {
-    /// The weight `ask_interval_ms`.
+    /// Weight `ask_interval_ms` of the policy.
     pub ask_interval_ms: u32,
-    /// The weight `lend_batch`.
+    /// Weight `lend_batch` of the policy.
     pub lend_batch: u32,
-    /// Median over the seeds.
+    /// Messages for each started task, median over the seeds.
     pub messages_per_task: f64,
-    /// Median over the seeds.
+    /// Median response time divided by that of the omniscient queue, median over the seeds.
     pub response_over_omniscient_p50: f64,
-    /// Median over the seeds.
+    /// 99th percentile of the response time divided by that of the omniscient queue, median over
+    /// the seeds.
     pub response_over_omniscient_p99: f64,
 }
 
-/// Reads one figure of a point.
-type Figure = fn(&TradePoint) -> f64;
+/// Function that returns one value of a point.
+type PointValue = fn(&TradePoint) -> f64;
 
-/// Measures the curve for one user's places.
+/// Measures the curve for the halls, delays and weights of a profile.
 pub fn measure_trade(profile: BenchProfile, seeds: &[u64]) -> Vec<TradePoint> {
     let point = |(ask_interval_ms, lend_batch): (u32, u32)| {
         let policy = Profile {
@@ -58,11 +59,11 @@
     WEIGHTS.into_iter().map(point).collect()
 }
 
-/// Draws the curve as an SVG file.
+/// Draws the curve as an SVG file. Fails if the file cannot be written.
 pub fn draw_trade(points: &[TradePoint], title: &str, file: &Path) -> Result<(), LoadError> {
     let drawn = try_draw(points, title, file);
     drawn.map_err(|error| LoadError::Plot {
-        what: error.to_string(),
+        reason: error.to_string(),
     })
 }
 
@@ -74,7 +75,7 @@
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let x = |point: &TradePoint| point.messages_per_task;
-    let most = points
+    let highest = points
         .iter()
         .map(|point| point.response_over_omniscient_p99)
         .fold(1.0, f64::max);
@@ -85,13 +86,13 @@
         .margin(16)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(low..high, 1.0..most + 0.02)?;
+        .build_cartesian_2d(low..high, 1.0..highest + 0.02)?;
     chart
         .configure_mesh()
-        .x_desc("messages a task")
-        .y_desc("response over omniscient queue")
+        .x_desc("messages per task")
+        .y_desc("response time / omniscient queue")
         .draw()?;
-    let curves: [(&str, RGBColor, Figure); 2] = [
+    let curves: [(&str, RGBColor, PointValue); 2] = [
         ("p50", BLUE, |point| point.response_over_omniscient_p50),
         ("p99", RED, |point| point.response_over_omniscient_p99),
     ];
--- a/crates/mastknot_load/src/error.rs
+++ b/crates/mastknot_load/src/error.rs
@@ -1,43 +1,43 @@
-//! What can go wrong with a measurement.
+//! Errors of measurements.
 
 use mastknot_client::ClientError;
 use mastknot_harness::HarnessError;
 use snafu::Snafu;
 
-/// Why a measurement gave no figures.
+/// Error of a measurement.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LoadError {
-    /// The system under load failed.
+    /// The system under load failed to start or to accept its configuration.
     #[snafu(display("{source}"), context(false))]
     Harness {
-        /// Why.
+        /// Underlying error.
         source: HarnessError,
     },
-    /// A call failed.
+    /// A call to an entry or a target failed.
     #[snafu(display("{source}"), context(false))]
     Client {
-        /// Why.
+        /// Underlying error.
         source: ClientError,
     },
-    /// A file can't be written or read, or a process can't be started.
-    #[snafu(display("{what}: {source}"))]
+    /// A file cannot be written or read, or a process cannot be started or signalled.
+    #[snafu(display("{subject}: {source}"))]
     Io {
-        /// What was tried.
-        what: String,
-        /// What the operating system said.
+        /// File, process or other object of the failed operation.
+        subject: String,
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The run did not reach the regime that it is to measure.
-    #[snafu(display("the run did not reach its regime: {what}"))]
-    WrongRegime {
-        /// What was missing.
-        what: String,
+    /// The run did not reach the state that it is meant to measure, so its results are not valid.
+    #[snafu(display("the run is not valid: {reason}"))]
+    InvalidRun {
+        /// Condition that was not met.
+        reason: String,
     },
     /// A plot could not be drawn.
-    #[snafu(display("the plot could not be drawn: {what}"))]
+    #[snafu(display("the plot could not be drawn: {reason}"))]
     Plot {
-        /// What the plotting library said.
-        what: String,
+        /// Error of the plotting library.
+        reason: String,
     },
 }
--- a/crates/mastknot_load/src/faults/audit.rs
+++ b/crates/mastknot_load/src/faults/audit.rs
@@ -4,24 +4,24 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// What one caller was told, in the end.
+/// Final result of one submission, as its caller saw it.
 #[derive(Clone, Debug)]
-pub(super) struct Told {
+pub(super) struct CallerResult {
     pub(super) key: String,
     pub(super) tasks: usize,
     pub(super) is_repeatable: bool,
-    /// The value that every task was to answer.
+    /// Value that every task is expected to return.
     pub(super) value: String,
-    /// The body of the last answer; none if the connection broke each time.
+    /// Body of the last answer; `None` if the last call got no answer.
     pub(super) body: Option<Value>,
     pub(super) millis: u64,
     pub(super) sent_at_ms: u64,
     pub(super) is_past_deadline: bool,
-    /// Replies of "not run" that came when a task of the submission had been started.
+    /// Number of "not run" replies that came after a task of the submission had been started.
     pub(super) false_not_run: u64,
 }
 
-impl Told {
+impl CallerResult {
     pub(super) fn state(&self) -> &str {
         let body = self.body.as_ref();
         body.and_then(|body| body["state"].as_str())
@@ -29,61 +29,62 @@
     }
 }
 
-/// The promises, counted; every number is to be zero.
+/// Number of violations of each guarantee; all must be zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FaultAudit {
-    /// Tasks that may not be repeated and were started more than once.
+    /// Tasks of services that are not repeatable that were started more than once.
     pub started_twice: u64,
-    /// Complete answers that lack a task or have one too many.
+    /// Complete answers with a missing or surplus task.
     pub partial_answers: u64,
-    /// Answers that hold another caller's value.
+    /// Complete answers that contain the value of another caller.
     pub foreign_answers: u64,
-    /// Replies of "not run" to a submission of which a task had been started by then.
+    /// "Not run" replies to submissions of which a task had already been started.
     pub false_not_run: u64,
-    /// Callers without a final answer past their deadline.
+    /// Callers whose last call got no answer by its deadline.
     pub unanswered: u64,
-    /// Times a node's configuration version went down.
+    /// Times that the configuration version of an entry decreased.
     pub configuration_reverts: u64,
 }
 
 impl FaultAudit {
-    /// Whether every promise was kept.
+    /// Returns whether every guarantee held.
     pub fn is_clean(&self) -> bool {
         *self == Self::default()
     }
 
-    pub(super) fn of(told: &[Told], starts: &StartRecord, reverts: u64) -> Self {
+    pub(super) fn of(results: &[CallerResult], starts: &StartRecord, reverts: u64) -> Self {
         let mut audit = Self {
             configuration_reverts: reverts,
             ..Self::default()
         };
-        let by_key: HashMap<&str, &Told> = told.iter().map(|t| (t.key.as_str(), t)).collect();
+        let by_key: HashMap<&str, &CallerResult> =
+            results.iter().map(|r| (r.key.as_str(), r)).collect();
         for (task, count) in &starts.starts {
             let key = task.split('/').next().unwrap_or_default();
-            let Some(told) = by_key.get(key) else {
+            let Some(result) = by_key.get(key) else {
                 continue;
             };
-            if *count > 1 && !told.is_repeatable {
+            if *count > 1 && !result.is_repeatable {
                 audit.started_twice += 1;
             }
         }
-        for one in told {
-            audit.check_answer(one);
+        for result in results {
+            audit.check_answer(result);
         }
         audit
     }
 
-    fn check_answer(&mut self, told: &Told) {
-        self.unanswered += u64::from(told.is_past_deadline);
-        self.false_not_run += told.false_not_run;
-        if told.state() != "complete" {
+    fn check_answer(&mut self, result: &CallerResult) {
+        self.unanswered += u64::from(result.is_past_deadline);
+        self.false_not_run += result.false_not_run;
+        if result.state() != "complete" {
             return;
         }
-        let body = told.body.as_ref();
+        let body = result.body.as_ref();
         let answers = body.and_then(|body| body["answers"].as_array());
         let answers = answers.cloned().unwrap_or_default();
-        self.partial_answers += u64::from(answers.len() != told.tasks);
-        let is_foreign = |answer: &Value| answer["body"]["value"] != told.value.as_str();
+        self.partial_answers += u64::from(answers.len() != result.tasks);
+        let is_foreign = |answer: &Value| answer["body"]["value"] != result.value.as_str();
         self.foreign_answers += u64::from(answers.iter().any(is_foreign));
     }
 }
--- a/crates/mastknot_load/src/faults/test_bed.rs
+++ b/crates/mastknot_load/src/faults/test_bed.rs
@@ -8,14 +8,15 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use crate::error::{LoadError, WrongRegimeSnafu};
+use crate::error::{InvalidRunSnafu, LoadError};
 use crate::process::{EntryProcess, SideProcess, settle};
 
-/// The halls.
+/// Halls, to which entries and sides are assigned in turn.
 const HALLS: [&str; 3] = ["hall-1", "hall-2", "hall-3"];
 
-/// Entries and sides as processes, stand-ins inside this tool.
-pub(super) struct FaultBed {
+/// System under fault injection: entries and sides as separate processes, stand-ins inside this
+/// tool.
+pub(super) struct FaultTestBed {
     pub(super) store: StoreStandIn,
     pub(super) workers: Arc<Vec<WorkerStandIn>>,
     pub(super) entries: Vec<EntryProcess>,
@@ -23,18 +24,20 @@
     pub(super) client: Client,
 }
 
-fn stand_in(error: impl std::fmt::Display) -> LoadError {
-    LoadError::WrongRegime {
-        what: error.to_string(),
+fn stand_in_error(error: impl std::fmt::Display) -> LoadError {
+    LoadError::InvalidRun {
+        reason: error.to_string(),
     }
 }
 
-impl FaultBed {
+impl FaultTestBed {
     pub(super) async fn start(entries: usize, sides: usize, slots: u16) -> Result<Self, LoadError> {
         let root: PathBuf =
             std::env::temp_dir().join(format!("mastknot-faults-{}", std::process::id()));
-        let mut bed = Self {
-            store: StoreStandIn::start("127.0.0.1:0").await.map_err(stand_in)?,
+        let mut test_bed = Self {
+            store: StoreStandIn::start("127.0.0.1:0")
+                .await
+                .map_err(stand_in_error)?,
             workers: Arc::default(),
             entries: Vec::new(),
             sides: Vec::new(),
@@ -42,33 +45,35 @@
         };
         for index in 0..entries {
             let name = format!("entry-{}", index + 1);
-            let peers: Vec<SocketAddr> = bed.entries.iter().map(|entry| entry.links).collect();
+            let peers: Vec<SocketAddr> = test_bed.entries.iter().map(|entry| entry.links).collect();
             let hall = HALLS[index % HALLS.len()];
-            let store = bed.store.address();
-            bed.entries
+            let store = test_bed.store.address();
+            test_bed
+                .entries
                 .push(EntryProcess::start(&root, &name, hall, store, &peers)?);
         }
-        let links: Vec<SocketAddr> = bed.entries.iter().map(|entry| entry.links).collect();
+        let links: Vec<SocketAddr> = test_bed.entries.iter().map(|entry| entry.links).collect();
         let mut workers = Vec::new();
         for index in 0..sides {
             let worker = WorkerStandIn::start("127.0.0.1:0")
                 .await
-                .map_err(stand_in)?;
+                .map_err(stand_in_error)?;
             let name = format!("side-{}", index + 1);
             let hall = HALLS[index % HALLS.len()];
             let target = worker.address();
-            bed.sides.push(SideProcess::start(
+            test_bed.sides.push(SideProcess::start(
                 &root, &name, hall, slots, target, &links,
             )?);
             workers.push(worker);
         }
-        bed.workers = Arc::new(workers);
-        settle(&bed.client, &bed.entries, sides).await?;
-        bed.create("service", "pay", json!({ "path": "/pay" }))
+        test_bed.workers = Arc::new(workers);
+        settle(&test_bed.client, &test_bed.entries, sides).await?;
+        test_bed
+            .create("service", "pay", json!({ "path": "/pay" }))
             .await?;
-        let look = json!({ "path": "/look", "repeatable": true });
-        bed.create("service", "look", look).await?;
-        Ok(bed)
+        let lookup = json!({ "path": "/look", "repeatable": true });
+        test_bed.create("service", "look", lookup).await?;
+        Ok(test_bed)
     }
 
     pub(super) async fn create(
@@ -82,14 +87,14 @@
         let entry = self.entries[0].operators;
         let answer = self.client.put(entry, &path, &body).await?;
         if !answer.status.is_success() {
-            let what = answer.body.to_string();
-            return WrongRegimeSnafu { what }.fail();
+            let reason = answer.body.to_string();
+            return InvalidRunSnafu { reason }.fail();
         }
         sleep(Duration::from_secs(1)).await;
         Ok(())
     }
 
-    /// The true starts of all workers.
+    /// Returns the task starts recorded by all workers.
     pub(super) fn starts(&self) -> StartRecord {
         let mut all = StartRecord::default();
         for worker in self.workers.iter() {
--- a/crates/mastknot_load/src/keys/mod.rs
+++ b/crates/mastknot_load/src/keys/mod.rs
@@ -1,10 +1,10 @@
-//! Keys for submissions over HTTP.
+//! Keys of submissions over HTTP.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use mastknot_core::types::{SubmissionKey, WallTime};
 
-/// A new key made now.
+/// Returns a new key with the current time.
 pub(crate) fn new_key() -> SubmissionKey {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since_epoch.unwrap_or_default().as_millis() as u64;
--- a/crates/mastknot_load/src/lib.rs
+++ b/crates/mastknot_load/src/lib.rs
@@ -1,4 +1,4 @@
-//! Bounded load, comparisons of policies and faults.
+//! Measurements under bounded load, comparisons of policies and fault injection.
 //!
 //! This crate has no feature flags.
 
--- a/crates/mastknot_load/src/main.rs
+++ b/crates/mastknot_load/src/main.rs
@@ -1,4 +1,4 @@
-//! `mastknot-load`: measurements, each bounded in time and count.
+//! `mastknot-load`: runs measurements, each bounded in time and number of submissions.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -37,16 +37,12 @@
 }
 
 fn overhead() -> impl Parser<Command> {
-    let rate = number(
-        "rate",
-        "Starts in a second, both arms together [1000]",
-        1_000,
-    );
-    let seconds = number("seconds", "How long [20]", 20);
+    let rate = number("rate", "Calls per second, both arms together [1000]", 1_000);
+    let seconds = number("seconds", "Duration, in seconds [20]", 20);
     construct!(OverheadPlan { rate, seconds })
         .map(Command::Overhead)
         .to_options()
-        .descr("Entry and side over calling the target directly, interleaved")
+        .descr("Cost of dispatching through entry and side, against direct calls to the target")
         .command("overhead")
 }
 
@@ -54,10 +50,10 @@
     let entries = number("entries", "Entries [2]", 2);
     let sides = number("sides", "Sides, each with a worker [8]", 8);
     let slots = number("slots", "Slots of each side [64]", 64);
-    let jobs = number("jobs", "Jobs in flight [32]", 32);
+    let jobs = number("jobs", "Jobs in flight at once [32]", 32);
     let tasks = number("tasks", "Tasks in each job [1000]", 1_000);
-    let task_ms = number("task-ms", "How long a task runs, in milliseconds [0]", 0);
-    let seconds = number("seconds", "How long [10]", 10);
+    let task_ms = number("task-ms", "Run time of a task, in milliseconds [0]", 0);
+    let seconds = number("seconds", "Duration, in seconds [10]", 10);
     construct!(ThroughputPlan {
         entries,
         sides,
@@ -69,11 +65,11 @@
     })
     .map(Command::Throughput)
     .to_options()
-    .descr("Tasks a second through one machine, over real sockets")
+    .descr("Tasks per second through one machine, over real sockets")
     .command("throughput")
 }
 
-/// All arms, for a comparison that names none.
+/// Arms of a comparison whose command line names none.
 const ALL_ARMS: [Arm; 5] = [
     Arm::Credits,
     Arm::Pushed(Baseline::Random),
@@ -116,8 +112,16 @@
         .parse(|text| list::<Arm>(&text))
         .fallback(ALL_ARMS.to_vec());
     let seeds = seeds_option();
-    let load = number("load", "Load as a share of the slots [0.75]", 0.75);
-    let seconds = number("seconds", "How long arrivals come [120]", 120);
+    let load = number(
+        "load",
+        "Load as a share of the capacity of all slots [0.75]",
+        0.75,
+    );
+    let seconds = number(
+        "seconds",
+        "Seconds during which submissions arrive [120]",
+        120,
+    );
     let entries = number("entries", "Entries [2]", 2);
     let sides = number("sides", "Sides [12]", 12);
     let slots = number("slots", "Slots of each side [8]", 8);
@@ -129,14 +133,16 @@
     let max_job = number("max-job", "Tasks of the largest job [1000]", 1_000);
     let deadline = number("deadline-ms", "Deadline of submissions [30000]", 0);
     let weights = long("weights")
-        .help("Weights of the policy as JSON, in place of the profile's own")
+        .help("Weights of the policy as JSON, instead of those of the profile")
         .argument::<String>("JSON")
         .parse(|text| serde_json::from_str::<Profile>(&text))
         .optional();
     let issued = long("issued-keys")
         .help("Callers use keys issued by the entry that they call")
         .switch();
-    let json = long("json").help("Print one JSON object a run").switch();
+    let json = long("json")
+        .help("Print one JSON object for each run")
+        .switch();
     construct!(
         profile, weights, arms, seeds, load, seconds, entries, sides, slots, share, max_job,
         deadline, issued, json
@@ -177,7 +183,7 @@
         },
     )
     .to_options()
-    .descr("Policies on the same arrivals, interleaved, in virtual time")
+    .descr("Compare policies on the same arrivals in virtual time")
     .command("compare")
 }
 
@@ -185,7 +191,7 @@
     let profile = profile_option();
     let seeds = seeds_option();
     let out = long("out")
-        .help("File to draw (SVG)")
+        .help("SVG file to write")
         .argument::<PathBuf>("FILE");
     construct!(Command::Curve {
         profile,
@@ -193,20 +199,24 @@
         out
     })
     .to_options()
-    .descr("Response time against messages over the policy's weights, as a picture and as JSON")
+    .descr("Response time against messages over the weights of the policy, as a plot and as JSON")
     .command("curve")
 }
 
 fn faults() -> impl Parser<Command> {
-    let rate = number("rate", "Submissions a second [60]", 60);
-    let pause_seconds = number("pause-seconds", "How long processes are paused [30]", 30);
+    let rate = number("rate", "Submissions per second [60]", 60);
+    let pause_seconds = number(
+        "pause-seconds",
+        "Seconds for which processes are paused [30]",
+        30,
+    );
     construct!(FaultsPlan {
         rate,
         pause_seconds
     })
     .map(Command::Faults)
     .to_options()
-    .descr("Entries and sides as processes under kills, pauses, outages and stops, audited")
+    .descr("Kill, pause and stop entries and sides under load, and audit the answers")
     .command("faults")
 }
 
--- a/crates/mastknot_load/src/overhead/mod.rs
+++ b/crates/mastknot_load/src/overhead/mod.rs
@@ -1,4 +1,4 @@
-//! What dispatching costs over calling the target directly, in one interleaved run.
+//! Cost of dispatching compared with direct calls to the target, measured in one interleaved run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,43 +11,43 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::error::{LoadError, WrongRegimeSnafu};
+use crate::error::{InvalidRunSnafu, LoadError};
 use crate::keys::new_key;
 
-/// The longest that a call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// The share of calls that must succeed for the run to count.
-const MIN_SUCCESS: f64 = 0.99;
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Minimum share of calls that must succeed for the run to be valid.
+const MIN_SUCCESS_SHARE: f64 = 0.99;
 
-/// What is measured.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct OverheadPlan {
-    /// Starts in a second, of both arms together.
+    /// Calls per second, of both arms together.
     pub rate: u32,
-    /// How long.
+    /// Duration of the run, in seconds.
     pub seconds: u32,
 }
 
-/// The figures, in microseconds.
+/// Results of a run; all times are in microseconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct OverheadReport {
-    /// Starts in a second, of both arms together.
+    /// Calls per second, of both arms together.
     pub rate: u32,
-    /// Calls of each arm that succeeded.
+    /// Number of successful calls of the arm that has fewer of them.
     pub calls: u64,
-    /// Calls that failed.
+    /// Number of failed calls, of both arms together.
     pub failed: u64,
-    /// Median of calling the target directly.
+    /// Median time of a direct call to the target.
     pub direct_p50_us: u64,
-    /// 99th percentile of calling the target directly.
+    /// 99th percentile of the time of a direct call to the target.
     pub direct_p99_us: u64,
-    /// Median of calling through entry and side.
+    /// Median time of a call through entry and side.
     pub dispatched_p50_us: u64,
-    /// 99th percentile of calling through entry and side.
+    /// 99th percentile of the time of a call through entry and side.
     pub dispatched_p99_us: u64,
-    /// The difference of the medians.
+    /// Difference of the medians.
     pub overhead_p50_us: u64,
-    /// The difference of the 99th percentiles.
+    /// Difference of the 99th percentiles.
     pub overhead_p99_us: u64,
 }
 
@@ -62,7 +62,7 @@
     micros: Option<u64>,
 }
 
-/// Calls the target directly and through mastknot in turns (A B A B), at a fixed rate.
+/// Calls the target at a fixed rate, alternately directly and through mastknot.
 pub async fn measure_overhead(plan: OverheadPlan) -> Result<OverheadReport, LoadError> {
     let system = Plan::new(["hall-1"])
         .entries(1)
@@ -72,7 +72,7 @@
     let harness = Harness::start(system).await?;
     let service = json!({ "path": "/run", "repeatable": true });
     harness.create("service", "run", service).await?;
-    let client = Client::new(CALL_LIMIT);
+    let client = Client::new(CALL_TIMEOUT);
     let target = harness.workers[0].address();
     let entry = harness.callers()[0];
     let (sender, mut samples) = mpsc::unbounded_channel();
@@ -143,9 +143,9 @@
 ) -> Result<OverheadReport, LoadError> {
     let calls = direct.len() + dispatched.len();
     let share = calls as f64 / (calls + failed).max(1) as f64;
-    if share < MIN_SUCCESS {
-        let what = format!("{failed} of {} calls failed", calls + failed);
-        return WrongRegimeSnafu { what }.fail();
+    if share < MIN_SUCCESS_SHARE {
+        let reason = format!("{failed} of {} calls failed", calls + failed);
+        return InvalidRunSnafu { reason }.fail();
     }
     let at = |histogram: &Histogram<u64>, q| histogram.value_at_quantile(q);
     let (direct_p50_us, direct_p99_us) = (at(direct, 0.5), at(direct, 0.99));
--- a/crates/mastknot_load/src/process/child_process.rs
+++ b/crates/mastknot_load/src/process/child_process.rs
@@ -8,7 +8,7 @@
 
 use crate::error::{IoSnafu, LoadError};
 
-/// A signal that the tool sends to its own processes.
+/// Signal that this tool sends to the processes that it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Signal {
     Terminate,
@@ -28,45 +28,47 @@
     }
 }
 
-/// A process of this tool's own; it is killed when this is dropped.
+/// Process started by this tool; it is killed when the value is dropped.
 #[derive(Debug)]
-pub(crate) struct Managed {
+pub(crate) struct ChildProcess {
     child: Child,
 }
 
-impl Managed {
-    /// Starts a binary that stands beside this tool's own, with a settings file.
+impl ChildProcess {
+    /// Writes a settings file and starts a binary from the directory of this program with it. The
+    /// log of the process goes to `log.txt` in the same directory.
     pub(crate) fn start(binary: &str, directory: &Path, settings: &str) -> Result<Self, LoadError> {
         let file = directory.join("settings.toml");
         std::fs::create_dir_all(directory).context(IoSnafu {
-            what: "a settings directory",
+            subject: "a settings directory",
         })?;
         std::fs::write(&file, settings).context(IoSnafu {
-            what: "a settings file",
+            subject: "a settings file",
         })?;
-        let log =
-            File::create(directory.join("log.txt")).context(IoSnafu { what: "a log file" })?;
-        let child = Command::new(beside_this(binary)?)
+        let log = File::create(directory.join("log.txt")).context(IoSnafu {
+            subject: "a log file",
+        })?;
+        let child = Command::new(sibling_path(binary)?)
             .arg("--settings")
             .arg(&file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .context(IoSnafu { what: binary })?;
+            .context(IoSnafu { subject: binary })?;
         Ok(Self { child })
     }
 
-    /// Sends it a signal, by its id.
+    /// Sends a signal to the process by its id.
     pub(crate) fn signal(&self, signal: Signal) -> Result<(), LoadError> {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([signal.name(), &pid]).status();
-        sent.map(|_| ()).context(IoSnafu { what: "kill" })
+        sent.map(|_| ()).context(IoSnafu { subject: "kill" })
     }
 
-    /// Waits until it has ended; none if it has not within the limit.
-    pub(crate) async fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
-        let end = Instant::now() + limit;
+    /// Waits until the process has ended; returns `None` if it still runs after the timeout.
+    pub(crate) async fn wait(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status);
@@ -77,16 +79,16 @@
     }
 }
 
-impl Drop for Managed {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn beside_this(binary: &str) -> Result<PathBuf, LoadError> {
-    let me = std::env::current_exe().context(IoSnafu {
-        what: "this program's path",
+fn sibling_path(binary: &str) -> Result<PathBuf, LoadError> {
+    let this_program = std::env::current_exe().context(IoSnafu {
+        subject: "this program's path",
     })?;
-    Ok(me.with_file_name(binary))
+    Ok(this_program.with_file_name(binary))
 }
--- a/crates/mastknot_load/src/process/entry_process.rs
+++ b/crates/mastknot_load/src/process/entry_process.rs
@@ -1,14 +1,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use super::child_process::ChildProcess;
 use super::free_address;
-use super::managed::Managed;
 use crate::error::LoadError;
 
-/// One `mastknot-entry` process; it keeps its addresses over restarts.
+/// Entry that runs as a `mastknot-entry` process and keeps its addresses over restarts.
 #[derive(Debug)]
 pub(crate) struct EntryProcess {
-    pub(crate) process: Option<Managed>,
+    pub(crate) process: Option<ChildProcess>,
     pub(crate) callers: SocketAddr,
     pub(crate) operators: SocketAddr,
     pub(crate) links: SocketAddr,
@@ -17,7 +17,7 @@
 }
 
 impl EntryProcess {
-    /// Starts an entry.
+    /// Starts an entry on free loopback addresses.
     pub(crate) fn start(
         root: &Path,
         name: &str,
@@ -51,13 +51,13 @@
             directory: root.join(name),
             settings,
         };
-        entry.start_again()?;
+        entry.start_process()?;
         Ok(entry)
     }
 
-    /// Starts the process, as a new run if there was one before.
-    pub(crate) fn start_again(&mut self) -> Result<(), LoadError> {
-        let process = Managed::start("mastknot-entry", &self.directory, &self.settings)?;
+    /// Starts the process, or restarts it if it ran before.
+    pub(crate) fn start_process(&mut self) -> Result<(), LoadError> {
+        let process = ChildProcess::start("mastknot-entry", &self.directory, &self.settings)?;
         self.process = Some(process);
         Ok(())
     }
--- a/crates/mastknot_load/src/process/mod.rs
+++ b/crates/mastknot_load/src/process/mod.rs
@@ -1,14 +1,14 @@
-//! The built binaries as processes of their own, started, watched and ended by their ids.
+//! Starts the built binaries as separate processes and signals them by their ids.
 //!
-//! Only this tool starts processes; no process of the product starts another.
+//! Only this tool starts processes: entries and sides never do.
 
+mod child_process;
 mod entry_process;
-mod managed;
 mod settle;
 mod side_process;
 
+pub(crate) use child_process::Signal;
 pub(crate) use entry_process::EntryProcess;
-pub(crate) use managed::Signal;
 pub(crate) use settle::settle;
 pub(crate) use side_process::SideProcess;
 
@@ -18,12 +18,12 @@
 
 use crate::error::{IoSnafu, LoadError};
 
-/// An address on loopback whose port is free now.
+/// Returns a loopback address whose port is free at the moment.
 pub(crate) fn free_address() -> Result<SocketAddr, LoadError> {
     let listener = TcpListener::bind("127.0.0.1:0").context(IoSnafu {
-        what: "a free port",
+        subject: "a free port",
     })?;
     listener.local_addr().context(IoSnafu {
-        what: "a free port",
+        subject: "a free port",
     })
 }
--- a/crates/mastknot_load/src/process/settle.rs
+++ b/crates/mastknot_load/src/process/settle.rs
@@ -5,20 +5,20 @@
 use tokio::time::{Instant, sleep};
 
 use super::EntryProcess;
-use crate::error::{LoadError, WrongRegimeSnafu};
+use crate::error::{InvalidRunSnafu, LoadError};
 
-/// How long a system may take to settle.
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-/// How often it is looked at meanwhile.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time until a system settles.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two reads of the state of a system that has not settled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until every entry has all members and at least this many sides.
+/// Waits until every entry sees all entries in its roster and has at least `sides` sides.
 pub(crate) async fn settle(
     client: &Client,
     entries: &[EntryProcess],
     sides: usize,
 ) -> Result<(), LoadError> {
-    let deadline = Instant::now() + SETTLE_LIMIT;
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
     for entry in entries {
         loop {
             let roster = client.get(entry.operators, "/v1/live/entries").await;
@@ -29,10 +29,10 @@
                 break;
             }
             if Instant::now() > deadline {
-                let what = format!("{members} members, {joined} sides");
-                return WrongRegimeSnafu { what }.fail();
+                let reason = format!("{members} members, {joined} sides");
+                return InvalidRunSnafu { reason }.fail();
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
--- a/crates/mastknot_load/src/process/side_process.rs
+++ b/crates/mastknot_load/src/process/side_process.rs
@@ -1,20 +1,20 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use super::child_process::ChildProcess;
 use super::free_address;
-use super::managed::Managed;
 use crate::error::LoadError;
 
-/// One `mastknot-side` process.
+/// Side that runs as a `mastknot-side` process.
 #[derive(Debug)]
 pub(crate) struct SideProcess {
-    pub(crate) process: Option<Managed>,
+    pub(crate) process: Option<ChildProcess>,
     directory: PathBuf,
     settings: String,
 }
 
 impl SideProcess {
-    /// Starts a side.
+    /// Starts a side for a target.
     pub(crate) fn start(
         root: &Path,
         name: &str,
@@ -43,13 +43,13 @@
             directory: root.join(name),
             settings,
         };
-        side.start_again()?;
+        side.start_process()?;
         Ok(side)
     }
 
-    /// Starts the process, as a new run if there was one before.
-    pub(crate) fn start_again(&mut self) -> Result<(), LoadError> {
-        let process = Managed::start("mastknot-side", &self.directory, &self.settings)?;
+    /// Starts the process, or restarts it if it ran before.
+    pub(crate) fn start_process(&mut self) -> Result<(), LoadError> {
+        let process = ChildProcess::start("mastknot-side", &self.directory, &self.settings)?;
         self.process = Some(process);
         Ok(())
     }
--- a/crates/mastknot_load/src/throughput/mod.rs
+++ b/crates/mastknot_load/src/throughput/mod.rs
@@ -1,4 +1,4 @@
-//! How many tasks a second go through one machine, over real sockets.
+//! Throughput of one machine in tasks per second, over real sockets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,50 +15,50 @@
 use crate::error::LoadError;
 use crate::keys::new_key;
 
-/// The longest that a job may take.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of the call that submits a job.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is measured.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct ThroughputPlan {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Sides, each with a worker.
+    /// Number of sides, each with a worker.
     pub sides: usize,
-    /// Slots of each side.
+    /// Number of slots of each side.
     pub slots: u16,
-    /// Jobs that are in flight at once.
+    /// Number of jobs in flight at once.
     pub jobs: usize,
-    /// Tasks in each job.
+    /// Number of tasks in each job.
     pub tasks: usize,
-    /// How long a task runs, in milliseconds.
+    /// Run time of a task, in milliseconds.
     pub task_ms: u64,
-    /// How long, in seconds.
+    /// Time during which jobs are submitted, in seconds.
     pub seconds: u64,
 }
 
-/// The figures.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct ThroughputReport {
-    /// Tasks that were answered in complete jobs, in a second.
+    /// Tasks of completed jobs per second.
     pub tasks_per_second: f64,
-    /// Jobs that completed.
+    /// Number of jobs that completed.
     pub jobs_completed: u64,
-    /// Jobs that did not.
+    /// Number of jobs that did not complete.
     pub jobs_not_completed: u64,
-    /// Messages between entries and sides for each task, control included.
+    /// Messages between entries and sides for each task, including control messages.
     pub messages_per_task: f64,
-    /// Control messages for each task.
+    /// Control messages between entries and sides for each task.
     pub control_messages_per_task: f64,
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct JobCounters {
     completed: AtomicU64,
     not_completed: AtomicU64,
 }
 
-/// Keeps a number of jobs in flight for a while and counts what is done.
+/// Keeps a number of jobs in flight for the time of the plan and counts the completed ones.
 pub async fn measure_throughput(plan: ThroughputPlan) -> Result<ThroughputReport, LoadError> {
     let system = Plan::new(["hall-1", "hall-2"])
         .entries(plan.entries)
@@ -68,26 +68,26 @@
     let harness = Harness::start(system).await?;
     let service = json!({ "path": "/run", "typical_ms": plan.task_ms.max(1) });
     harness.create("service", "run", service).await?;
-    let client = Client::new(CALL_LIMIT);
-    let tally: Arc<Tally> = Arc::default();
+    let client = Client::new(CALL_TIMEOUT);
+    let counters: Arc<JobCounters> = Arc::default();
     let started = Instant::now();
     let end = started + Duration::from_secs(plan.seconds);
     let callers = harness.callers();
     let mut submitters = JoinSet::new();
     for index in 0..plan.jobs {
         let entry = callers[index % callers.len()];
-        let (client, tally) = (client.clone(), Arc::clone(&tally));
-        submitters.spawn(submit_until(client, entry, plan, end, tally));
+        let (client, counters) = (client.clone(), Arc::clone(&counters));
+        submitters.spawn(submit_until(client, entry, plan, end, counters));
     }
     while submitters.join_next().await.is_some() {}
     let elapsed = started.elapsed().as_secs_f64();
-    let jobs_completed = tally.completed.load(Ordering::Relaxed);
+    let jobs_completed = counters.completed.load(Ordering::Relaxed);
     let tasks = (jobs_completed * plan.tasks as u64).max(1) as f64;
     let (work, control) = messages(&harness).await?;
     Ok(ThroughputReport {
         tasks_per_second: tasks / elapsed,
         jobs_completed,
-        jobs_not_completed: tally.not_completed.load(Ordering::Relaxed),
+        jobs_not_completed: counters.not_completed.load(Ordering::Relaxed),
         messages_per_task: (work + control) as f64 / tasks,
         control_messages_per_task: control as f64 / tasks,
     })
@@ -98,7 +98,7 @@
     entry: SocketAddr,
     plan: ThroughputPlan,
     end: Instant,
-    tally: Arc<Tally>,
+    counters: Arc<JobCounters>,
 ) {
     let work = json!({ "ms": plan.task_ms, "value": 1 });
     let tasks: Vec<Value> = vec![work; plan.tasks];
@@ -114,15 +114,15 @@
         let answer = client.post(entry, "/v1/jobs", &body).await;
         let is_complete = answer.is_ok_and(|answer| answer.state() == "complete");
         let counter = if is_complete {
-            &tally.completed
+            &counters.completed
         } else {
-            &tally.not_completed
+            &counters.not_completed
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Messages that entries sent and received: work and control.
+/// Returns the numbers of work and control messages that the entries sent and received.
 async fn messages(harness: &Harness) -> Result<(u64, u64), LoadError> {
     let (mut work, mut control) = (0, 0);
     for (index, _) in harness.callers().iter().enumerate() {
--- a/crates/mastknot_load/tests/capacity.rs
+++ b/crates/mastknot_load/tests/capacity.rs
@@ -1,31 +1,33 @@
-//! The figures that docs/CAPACITY.md carries on to the designed size follow from the measured ones on the same row. No
-//! time is measured.
+//! Checks that the figures which docs/CAPACITY.md extrapolates to the designed size follow from the
+//! measured figures in the same row. The test itself measures nothing.
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 const HEAD: &str = "| role | 30 | 100 | 300 | power | carried on |";
-/// The largest size that is measured, in machines.
-const MEASURED: f64 = 300.0;
-/// The size that the figures are carried on to.
-const CARRIED_ON_TO: f64 = 5_245.0;
-/// The power stands there with two digits: half of the last one, over this distance, and the rounding of the figures.
+/// Largest measured size, in machines.
+const MEASURED_SIZE: f64 = 300.0;
+/// Size to which the figures are extrapolated, in machines.
+const EXTRAPOLATED_SIZE: f64 = 5_245.0;
+/// Tolerated relative error. The page gives the power with two digits, so the error of half a digit
+/// grows with the ratio of the sizes; the figures are rounded as well.
 const TOLERANCE: f64 = 0.03;
 
-/// A row of the table: its name, the figure of the busiest node at 300 machines, the power of its growth with the number
-/// of machines, and what that leads to.
+/// Row of the table: its name, the figure of the busiest node at 300 machines, the exponent of its
+/// growth with the number of machines, and the extrapolated figure.
 struct Row {
-    what: String,
+    name: String,
     measured: f64,
     power: f64,
-    carried_on: f64,
+    extrapolated: f64,
 }
 
 fn number(text: &str) -> f64 {
     let text = text.trim().replace(',', "");
     text.parse()
-        .unwrap_or_else(|_| panic!("{text:?} is no number"))
+        .unwrap_or_else(|_| panic!("{text:?} is not a number"))
 }
 
-/// The figure of the busiest node, which stands last where there is one of the middle as well.
+/// Returns the figure of the busiest node, which is the last one in a cell that also has the figure
+/// of a median node.
 fn busiest(cell: &str) -> f64 {
     number(cell.rsplit(", ").next().unwrap_or_default())
 }
@@ -35,14 +37,14 @@
     let lines = tables.flat_map(|table| table.lines().skip(2).take_while(|line| !line.is_empty()));
     let row = |line: &str| {
         let cells: Vec<&str> = line.trim_matches('|').split('|').collect();
-        let [what, _, _, measured, power, carried_on] = cells[..] else {
+        let [name, _, _, measured, power, extrapolated] = cells[..] else {
             panic!("not six cells: {line}");
         };
         Row {
-            what: what.trim().to_owned(),
+            name: name.trim().to_owned(),
             measured: busiest(measured),
             power: number(power),
-            carried_on: number(carried_on),
+            extrapolated: number(extrapolated),
         }
     };
     lines.map(row).collect()
@@ -53,15 +55,15 @@
     let rows = rows();
     assert!(rows.len() >= 22, "{} rows", rows.len());
     for row in rows {
-        // What falls with the size is carried on as if it did not.
+        // A figure that falls with the size is extrapolated as a constant.
         let power = row.power.max(0.0);
-        let expected = row.measured * (CARRIED_ON_TO / MEASURED).powf(power);
-        let off = (row.carried_on - expected).abs() / expected.max(f64::MIN_POSITIVE);
+        let expected = row.measured * (EXTRAPOLATED_SIZE / MEASURED_SIZE).powf(power);
+        let relative_error = (row.extrapolated - expected).abs() / expected.max(f64::MIN_POSITIVE);
         assert!(
-            off <= TOLERANCE,
-            "{}: {} stands there, {expected:.1} follows",
-            row.what,
-            row.carried_on
+            relative_error <= TOLERANCE,
+            "{}: the page has {}, the measured figure gives {expected:.1}",
+            row.name,
+            row.extrapolated
         );
     }
 }
