--- a/crates/mastknot_cli/tests/explain_logs.rs
+++ b/crates/mastknot_cli/tests/explain_logs.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_late_request_is_told_with_the_run_that_cost_it_its_objective() {
+fn a_late_request_shows_the_run_that_made_it_late() {
     check(
         "late",
         "r1",
@@ -89,7 +89,7 @@
 "#;
 
 #[test]
-fn a_failed_request_is_told_with_the_task_that_crashes_targets() {
+fn a_failed_request_shows_the_task_that_crashes_targets() {
     let files = [("entry-1.log", CRASHING)];
     let (exit, printed) = explain_files("crashing", &files, "r9");
     let last = printed.lines().last();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn what_no_log_names_is_not_found() {
+fn an_id_that_no_log_contains_is_not_found() {
     check(
         "unknown",
         "r9",
@@ -172,7 +172,7 @@
 "#;
 
 #[test]
-fn a_summary_tells_all_causes_apart() {
+fn a_summary_distinguishes_all_causes() {
     let files = [("entry-7.log", BUSY_ENTRY), ("side-8.log", BUSY_SIDE)];
     let (code, printed) = explain_files("causes", &files, "--summary");
     expect![[r#"
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_reader_that_has_seen_enough_is_no_error() {
+fn a_closed_output_pipe_is_not_an_error() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("closed");
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("entry-7.log");
@@ -219,7 +219,7 @@
 "#;
 
 #[test]
-fn a_job_that_came_again_counts_by_its_last_arrival_whatever_the_order_of_the_files() {
+fn a_resubmitted_job_counts_by_its_last_arrival_in_any_order_of_the_files() {
     for files in [
         [("entry-1.log", FIRST_ENTRY), ("entry-2.log", SECOND_ENTRY)],
         [("entry-2.log", SECOND_ENTRY), ("entry-1.log", FIRST_ENTRY)],
--- a/crates/mastknot_load/src/faults/audit.rs
+++ b/crates/mastknot_load/src/faults/audit.rs
@@ -32,7 +32,7 @@
 /// Number of violations of each guarantee; all must be zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FaultAudit {
-    /// Tasks of services that are not repeatable that were started more than once.
+    /// Tasks of non-repeatable services that were started more than once.
     pub started_twice: u64,
     /// Complete answers with a missing or surplus task.
     pub partial_answers: u64,
--- a/crates/mastknot_load/src/process/child_process.rs
+++ b/crates/mastknot_load/src/process/child_process.rs
@@ -35,8 +35,8 @@
 }
 
 impl ChildProcess {
-    /// Writes a settings file and starts a binary from the directory of this program with it. The
-    /// log of the process goes to `log.txt` in the same directory.
+    /// Writes `settings.toml` into `directory` and starts a binary with it. The binary is expected
+    /// in the directory of this program. The process logs to `log.txt` in `directory`.
     pub(crate) fn start(binary: &str, directory: &Path, settings: &str) -> Result<Self, LoadError> {
         let file = directory.join("settings.toml");
         std::fs::create_dir_all(directory).context(IoSnafu {
--- a/crates/mastknot_load/tests/capacity.rs
+++ b/crates/mastknot_load/tests/capacity.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_the_page_carries_on_follows_from_what_was_measured() {
+fn extrapolated_figures_follow_from_the_measured_ones() {
     let rows = rows();
     assert!(rows.len() >= 22, "{} rows", rows.len());
     for row in rows {
