--- a/crates/mastknot_core/benches/steps.rs
+++ b/crates/mastknot_core/benches/steps.rs
@@ -1,6 +1,7 @@
-//! What a step of an entry costs by the size of the deployment, event by event.
+//! Benchmarks of one step of an entry, by event and by size of the deployment.
 //!
-//! `cargo bench --package mastknot_core`. The figures of the last run and of the code before stand in docs/BENCH.md.
+//! Run them with `cargo bench --package mastknot_core`. docs/BENCH.md has the figures of the last run and of the
+//! previous code.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -12,14 +13,15 @@
 use mastknot_core::job::{EndOfRun, KnownEntry};
 use mastknot_core::scheduler::SchedulerEvent;
 
-/// Entries and sides: a small deployment, the largest one that is served, and the designed size.
+/// Numbers of entries and sides: a small deployment, the largest one in service, and the size that the system is
+/// designed for.
 const SIZES: [(usize, usize); 3] = [(4, 11), (55, 240), (250, 1_100)];
-/// Events of one round, on a copy of the entry each round.
+/// Number of events in one iteration, each iteration on a clone of the entry.
 const EVENTS: u64 = 100;
-/// All links stand and those beyond the usual number are on standby.
+/// Time at which all links are up and those beyond the usual number are on standby, in milliseconds.
 const SETTLED_MS: u64 = 120;
 
-/// An entry among `entries` with links to `sides` free sides.
+/// Returns an entry in a deployment of `entries` entries, linked to `sides` idle sides.
 fn settled(entries: usize, sides: usize) -> Entry {
     let mut entry = Entry::with_sides(&[]);
     let known = (0..entries).map(|number| KnownEntry {
@@ -35,7 +37,7 @@
     entry
 }
 
-/// Submits jobs of two tasks and lets them end.
+/// Submits jobs of two tasks and reports the end of each run at once.
 fn run_jobs(entry: &mut Entry) {
     for number in 1..=EVENTS {
         let effects = entry.submit(SETTLED_MS, number, job(number, 2, 100), 2_000);
@@ -46,7 +48,7 @@
     }
 }
 
-/// Takes reports without news from one side after the other.
+/// Handles reports that contain no change, from each side in turn.
 fn take_reports(entry: &mut Entry, sides: usize) {
     for number in 0..EVENTS {
         let side = number % sides as u64;
--- a/crates/mastknot_core/tests/abandoned_jobs.rs
+++ b/crates/mastknot_core/tests/abandoned_jobs.rs
@@ -1,11 +1,11 @@
-//! What an entry tells of a job whose caller has left.
+//! Decision that an entry records when the caller of a job leaves.
 
 mod common;
 
 use common::entry::*;
 use mastknot_core::scheduler::{CallerId, SchedulerDecision, SchedulerEffect, SchedulerEvent};
 
-/// How old the job was and whether it had begun.
+/// Returns the age of the abandoned job in milliseconds and whether any of its tasks had started.
 fn abandoned(effects: &[SchedulerEffect]) -> Option<(u64, bool)> {
     effects.iter().find_map(|effect| match effect {
         SchedulerEffect::Decided(SchedulerDecision::Abandoned {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_abandoned_job_is_told_with_its_age_and_whether_it_had_begun() {
+fn an_abandoned_job_is_reported_with_its_age_and_whether_it_had_begun() {
     for (free, has_begun) in [(16_000, true), (0, false)] {
         let mut entry = Entry::with_sides(&[free]);
         entry.submit(10, 1, job(1, 1, 900), 9_000);
--- a/crates/mastknot_core/tests/agent.rs
+++ b/crates/mastknot_core/tests/agent.rs
@@ -1,4 +1,5 @@
-//! The core of a side: what it orders its target, holds, reports and refuses.
+//! State machine of a side: what it orders from its target, how long it lets the target hold runs, what it reports
+//! and what it turns away.
 
 mod common;
 
@@ -21,12 +22,12 @@
     };
     assert!(
         !too_soon.are_safe(Duration::from_millis(50)),
-        "the hold outlives it by 2 percent"
+        "the hold outlives the run by 2 percent"
     );
 }
 
 #[test]
-fn a_start_is_ordered_while_there_is_room_and_turned_away_after() {
+fn a_start_is_ordered_while_capacity_is_free_and_turned_away_after() {
     let mut side = Side::ready();
     assert_eq!(
         ordered(&side.order(1_001, ENTRY, start(1, 2_500))),
@@ -62,7 +63,7 @@
     assert_eq!(
         stopped(&effects),
         [run(1)],
-        "orders held up by a cut prove nothing"
+        "orders delayed by a partition do not show that the entry is alive"
     );
 }
 
@@ -76,13 +77,13 @@
         AgentEffect::Order { hold_until_ms, .. } => Some(*hold_until_ms),
         _ => None,
     });
-    // The first entry's lease counts from 1,000 ms. The target's clock showed 1,002 ms at 3 ms; it may be slow by three in a
-    // hundred since then, and the hold must not be too long.
+    // The first entry's lease counts from 1,000 ms. The target's clock read 1,002 ms at 3 ms and may have run up to 3
+    // percent slow since then; the hold must not exceed the lease.
     let shown_at_least = 1_002 + 967;
     assert_eq!(hold, Some(shown_at_least + 500));
 }
 
-/// A run under an old lease was held for as long as another entry's younger lease had made the target hold.
+/// A run under an old lease used to be held for as long as the younger lease of another entry made the target hold.
 #[test]
 fn a_start_under_a_lease_that_the_hold_outlives_is_turned_away() {
     let outlived = EndOfRun::NotRun(NotRunCause::Late);
@@ -97,10 +98,10 @@
 }
 
 #[test]
-fn an_unanswered_order_is_looked_for_stopped_and_only_then_not_run() {
+fn an_unanswered_order_is_probed_and_stopped_before_it_is_reported_as_not_run() {
     let mut side = Side::ready();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
-    assert!(look_number(&effects).is_some());
+    assert!(probe_number(&effects).is_some());
     let outcome = OrderOutcome::NoAnswer;
     let effects = side.step(
         1_051,
@@ -109,8 +110,12 @@
             outcome,
         },
     );
-    let effects = side.answer_look(1_052, &effects, 2_051, Vec::new());
-    assert_eq!(stopped(&effects), [run(1)], "it may still be carried out");
+    let effects = side.answer_probe(1_052, &effects, 2_051, Vec::new());
+    assert_eq!(
+        stopped(&effects),
+        [run(1)],
+        "the target may still carry out the order"
+    );
     assert_eq!(ends(&effects), []);
     let is_acknowledged = true;
     side.step(
@@ -120,7 +125,7 @@
             is_acknowledged,
         },
     );
-    let number = look_number(&effects).expect("a look");
+    let number = probe_number(&effects).expect("a probe");
     let view = TargetView {
         clock_ms: 2_054,
         started_at_ms: 0,
@@ -136,9 +141,9 @@
     assert_eq!(
         ends(&effects),
         [],
-        "this look was sent before the stop was acknowledged"
+        "this probe was sent before the stop was acknowledged"
     );
-    let effects = side.answer_look(1_066, &effects, 2_065, Vec::new());
+    let effects = side.answer_probe(1_066, &effects, 2_065, Vec::new());
     assert_eq!(
         ends(&effects),
         [EndOfRun::NotRun(NotRunCause::TargetUnavailable)]
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn a_target_that_fails_three_in_a_row_gets_one_at_a_time_and_wakes_nobody_for_its_past() {
+fn a_target_that_fails_three_runs_in_a_row_gets_one_at_a_time_and_leaves_no_timer_in_the_past() {
     let mut side = Side::ready();
     let mut effects = Vec::new();
     for number in 1..=3 {
@@ -157,7 +162,7 @@
         run: run(number),
         reason: FinishReason::Failed,
     });
-    let effects = side.answer_look(1_010, &effects, 2_009, finished.collect());
+    let effects = side.answer_probe(1_010, &effects, 2_009, finished.collect());
     let is_target_suspect = true;
     assert_eq!(
         ends(&effects).last(),
@@ -166,7 +171,7 @@
     assert_eq!(
         side.agent.condition(),
         TargetCondition::Absent,
-        "it is paused"
+        "the target is paused"
     );
     side.step(1_070, AgentEvent::Tick);
     assert_eq!(side.agent.condition(), TargetCondition::Probation);
@@ -180,7 +185,7 @@
 fn a_dead_target_ends_all_runs_at_once_and_a_silent_one_when_its_hold_has_run_out() {
     let mut dead = Side::ready();
     let effects = dead.order(1_001, ENTRY, start(1, 1_000));
-    let number = look_number(&effects).expect("a look");
+    let number = probe_number(&effects).expect("a probe");
     let result = Err(ProbeFailure::Refused);
     let effects = dead.step(1_010, AgentEvent::Probed { number, result });
     assert_eq!(ends(&effects), [EndOfRun::Crashed]);
@@ -189,7 +194,7 @@
     let mut effects = silent.order(1_001, ENTRY, start(1, 1_000));
     let mut over_at = None;
     for ms in (1_101..2_000).step_by(10) {
-        if let Some(number) = look_number(&effects) {
+        if let Some(number) = probe_number(&effects) {
             let result = Err(ProbeFailure::Silent);
             effects = silent.step(ms, AgentEvent::Probed { number, result });
         } else {
@@ -199,14 +204,14 @@
             over_at = over_at.or(Some(ms));
         }
     }
-    // The hold ends 500 ms after the lease began at 1,000 ms; the clock was read 1.5 s before and may
-    // be 3 percent slow.
+    // The hold ends 500 ms after the lease began at 1,000 ms. The clock was read 1.5 s earlier and may run up to 3
+    // percent slow.
     let over_at = over_at.expect("the run is over");
     assert!((1_500..1_560).contains(&over_at), "{over_at}");
 }
 
 #[test]
-fn a_profile_from_before_is_taken_until_the_target_reports_or_ends() {
+fn a_remembered_profile_is_used_until_the_target_reports_or_ends() {
     let settings = AgentSettings::new("side-1".into(), Incarnation(2), "hall".into());
     let mut side = Side {
         agent: TargetAgent::new(settings),
@@ -214,42 +219,46 @@
     side.step(0, AgentEvent::TargetRemembered(profile()));
     let effects = side.step(1, AgentEvent::Tick);
     assert!(side.agent.target().is_some());
-    let number = look_number(&effects).or(Some(1)).expect("a look");
+    let number = probe_number(&effects).or(Some(1)).expect("a probe");
     let result = Err(ProbeFailure::OtherIncarnation);
     side.step(2, AgentEvent::Probed { number, result });
-    assert!(side.agent.target().is_none(), "another life answers");
+    assert!(side.agent.target().is_none(), "another incarnation answers");
     side.step(3, AgentEvent::TargetRemembered(profile()));
     assert!(
         side.agent.target().is_none(),
-        "what is remembered is of no use any more"
+        "the remembered profile is no longer valid"
     );
 }
 
-fn looks(effects: &[AgentEffect]) -> usize {
-    let looks = effects.iter();
-    looks
+fn probes(effects: &[AgentEffect]) -> usize {
+    let probes = effects.iter();
+    probes
         .filter(|effect| matches!(effect, AgentEffect::Probe { .. }))
         .count()
 }
 
 #[test]
-fn an_idle_target_is_asked_for_its_clock_each_two_seconds() {
+fn the_clock_of_an_idle_target_is_read_every_two_seconds() {
     let mut side = Side::ready();
-    assert_eq!(looks(&side.step(2_000, AgentEvent::Tick)), 0);
+    assert_eq!(probes(&side.step(2_000, AgentEvent::Tick)), 0);
     let effects = side.step(2_003, AgentEvent::Tick);
     let wait = effects.iter().find_map(|effect| match effect {
         AgentEffect::Probe { wait, .. } => Some(*wait),
         _ => None,
     });
-    assert_eq!(wait, Some(Duration::ZERO), "there is no end to wait for");
-    side.answer_look(2_004, &effects, 3_000, Vec::new());
-    assert_eq!(looks(&side.step(4_003, AgentEvent::Tick)), 0);
-    assert_eq!(looks(&side.step(4_004, AgentEvent::Tick)), 1);
+    assert_eq!(
+        wait,
+        Some(Duration::ZERO),
+        "no run is under way whose end the probe could wait for"
+    );
+    side.answer_probe(2_004, &effects, 3_000, Vec::new());
+    assert_eq!(probes(&side.step(4_003, AgentEvent::Tick)), 0);
+    assert_eq!(probes(&side.step(4_004, AgentEvent::Tick)), 1);
 }
 
-/// A side that stood still, or whose VM was suspended, does not know what its target's clock shows.
+/// A side that was suspended, or whose VM was, does not know the current reading of its target's clock.
 #[test]
-fn nothing_is_started_by_a_clock_that_was_read_long_ago() {
+fn nothing_is_started_on_a_stale_clock_reading() {
     let mut side = Side::ready();
     side.join(9_000, OTHER, "entry-2", 1);
     let effects = side.order(9_001, OTHER, start(1, 1_000));
--- a/crates/mastknot_core/tests/common/entry.rs
+++ b/crates/mastknot_core/tests/common/entry.rs
@@ -1,4 +1,4 @@
-//! An entry's core with sides, and what it is told.
+//! Fixture for the state machine of an entry: joins sides, feeds reports and submissions, and reads effects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
     Moment::from_millis(ms)
 }
 
-/// What a target has.
-pub fn target_room(cpu_millis: u32) -> Capacity {
+/// Capacity of a target with this much processor time.
+pub fn target_capacity(cpu_millis: u32) -> Capacity {
     Capacity {
         cpu_millis,
         memory_mb: 4_096,
@@ -27,8 +27,8 @@
     }
 }
 
-/// What a task takes.
-pub fn room(cpu_millis: u32) -> Capacity {
+/// Capacity that one task requires.
+pub fn task_capacity(cpu_millis: u32) -> Capacity {
     Capacity {
         cpu_millis,
         memory_mb: 64,
@@ -36,12 +36,12 @@
     }
 }
 
-/// What the target of a side says of itself.
+/// Profile that the target of a side reports.
 pub fn target_profile(side: u64) -> TargetProfile {
     TargetProfile {
         id: TargetId::named(format!("target-{side}")),
         service: Arc::from("service"),
-        capacity: target_room(16_000),
+        capacity: target_capacity(16_000),
         labels: Vec::new(),
     }
 }
@@ -53,12 +53,12 @@
 }
 
 impl Entry {
-    /// An entry with sides whose targets have this much free processor.
+    /// Returns an entry with one side per element; each target has that many free thousandths of a core.
     pub fn with_sides(free: &[u32]) -> Self {
         Self::with_scarcity(free, ScarcitySettings::default())
     }
 
-    /// The same with other ways to decide on room that is short.
+    /// Returns an entry like [`Entry::with_sides`] with the given settings for scarce capacity.
     pub fn with_scarcity(free: &[u32], scarcity: ScarcitySettings) -> Self {
         let settings = SchedulerSettings {
             scarcity,
@@ -79,7 +79,7 @@
         self.join_in("hall", DrainedHalls::default(), ms, side, cpu_millis);
     }
 
-    /// A side of a hall joins, with what it knows of drained halls.
+    /// Joins a side of a hall; its hello carries the drained halls that it knows.
     pub fn join_in(
         &mut self,
         hall: &str,
@@ -143,11 +143,17 @@
         self.reports(ms, side, vec![SideReport::Status(status)])
     }
 
-    /// Tells that an idle target takes this long for its work, in percent of the usual, and that it
-    /// has seen all starts.
-    pub fn paced_status(&mut self, ms: u64, side: u64, pace_percent: u32, ended: Vec<EndedRun>) {
+    /// Reports an idle target with this slowdown (time taken in percent of the estimate) that has received all
+    /// starts.
+    pub fn status_with_slowdown(
+        &mut self,
+        ms: u64,
+        side: u64,
+        slowdown_percent: u32,
+        ended: Vec<EndedRun>,
+    ) {
         let status = SideStatus {
-            slowdown_percent: pace_percent,
+            slowdown_percent: slowdown_percent,
             starts_included: u64::MAX,
             ended,
             ..self.next_status(16_000)
@@ -155,12 +161,12 @@
         self.reports(ms, side, vec![SideReport::Status(status)]);
     }
 
-    /// The next report of a side, to be changed at will.
+    /// Returns the next status report of a side with default values, for the test to adjust.
     pub fn next_status(&mut self, cpu_millis: u32) -> SideStatus {
         self.number += 1;
         SideStatus {
             number: self.number,
-            free: target_room(cpu_millis),
+            free: target_capacity(cpu_millis),
             condition: TargetCondition::Ready,
             slowdown_percent: 100,
             ..SideStatus::default()
@@ -177,7 +183,7 @@
         self.submit_as(ms, caller, job, left, 0)
     }
 
-    /// Submits a job of a queue that competes with others by priority.
+    /// Submits a job of a ranked queue, which competes with other queues by priority.
     pub fn submit_ranked(
         &mut self,
         ms: u64,
@@ -192,7 +198,7 @@
         self.submit_under(ms, caller, job, left, policy)
     }
 
-    /// Submits a job of a queue with a priority.
+    /// Submits a job of a queue with this priority.
     pub fn submit_as(
         &mut self,
         ms: u64,
@@ -204,7 +210,7 @@
         self.submit_under(ms, caller, job, left, policy(priority))
     }
 
-    /// Submits a job of another queue of the same priority.
+    /// Submits a job of the named queue, which has the same priority as the others.
     pub fn submit_to(
         &mut self,
         queue: &str,
@@ -258,7 +264,7 @@
         payload: Arc::from("text"),
         steps: vec![StepSpec {
             count: tasks,
-            required_capacity: room(1_600),
+            required_capacity: task_capacity(1_600),
             estimate: Duration::from_millis(millis),
             ..StepSpec::default()
         }],
--- a/crates/mastknot_core/tests/common/side.rs
+++ b/crates/mastknot_core/tests/common/side.rs
@@ -1,4 +1,4 @@
-//! A side's core with a target that is known and free, and what it is told.
+//! Fixture for the state machine of a side whose target is known and idle: feeds orders and answers, reads effects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     }
 }
 
-/// What a life of the target reports.
+/// Returns report `number` of the target's incarnation with this name.
 pub fn report(target: &str, number: u64) -> TargetReport {
     TargetReport {
         profile: TargetProfile {
@@ -93,7 +93,7 @@
 }
 
 impl Side {
-    /// A side that has just started.
+    /// Returns a side that has just started and does not know its target.
     pub fn unknown() -> Self {
         let settings = AgentSettings::new("side-1".into(), Incarnation(1), "hall".into());
         Self {
@@ -101,12 +101,12 @@
         }
     }
 
-    /// A side whose target is known and free, linked to one entry at 1,000 ms.
+    /// Returns a side whose target is known and idle, linked to one entry at 1,000 ms.
     pub fn ready() -> Self {
         let mut side = Self::unknown();
         let effects = side.step(0, AgentEvent::Tick);
-        let effects = side.answer_look(1, &effects, 1_000, Vec::new());
-        side.answer_look(3, &effects, 1_002, Vec::new());
+        let effects = side.answer_probe(1, &effects, 1_000, Vec::new());
+        side.answer_probe(3, &effects, 1_002, Vec::new());
         side.step(4, AgentEvent::TargetReported(report("target-1", 1)));
         side.join(1_000, ENTRY, "entry-1", 1);
         side
@@ -132,14 +132,14 @@
         self.step(ms, AgentEvent::FromEntry { session, orders })
     }
 
-    pub fn answer_look(
+    pub fn answer_probe(
         &mut self,
         ms: u64,
         effects: &[AgentEffect],
         clock_ms: u64,
         finished: Vec<TargetFinished>,
     ) -> Vec<AgentEffect> {
-        let number = look_number(effects).expect("a look is under way");
+        let number = probe_number(effects).expect("a probe is under way");
         let view = TargetView {
             clock_ms,
             started_at_ms: 0,
@@ -156,7 +156,7 @@
     }
 }
 
-pub fn look_number(effects: &[AgentEffect]) -> Option<u64> {
+pub fn probe_number(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         AgentEffect::Probe { number, .. } => Some(*number),
         _ => None,
--- a/crates/mastknot_core/tests/confirmed_links.rs
+++ b/crates/mastknot_core/tests/confirmed_links.rs
@@ -1,4 +1,4 @@
-//! What an entry confirms on a new link.
+//! Acknowledgement that an entry sends on a new link.
 
 mod common;
 
@@ -19,25 +19,26 @@
     })
 }
 
-/// The report numbers that are confirmed.
-fn confirmed(effects: &[SchedulerEffect]) -> Vec<u64> {
+/// Returns the report numbers that heartbeats acknowledge.
+fn acknowledged_reports(effects: &[SchedulerEffect]) -> Vec<u64> {
     let sent = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send { order, .. } => Some(order),
         _ => None,
     });
-    let heard = sent.filter_map(|order| match order {
+    let acknowledged = sent.filter_map(|order| match order {
         EntryOrder::Heartbeat {
-            last_received: heard,
+            last_received: acknowledged,
             ..
-        } => Some(*heard),
+        } => Some(*acknowledged),
         _ => None,
     });
-    heard.collect()
+    acknowledged.collect()
 }
 
-/// The side's lease for runs that go on counted from the link before until the next heartbeat.
+/// Without an immediate acknowledgement the side's lease for runs that continue used to count from the previous link
+/// until the next heartbeat.
 #[test]
-fn the_first_report_of_a_new_link_is_confirmed_at_once_if_runs_go_on() {
+fn the_first_report_on_a_new_link_is_acknowledged_at_once_if_runs_go_on() {
     for tasks in [0, 1] {
         let mut entry = Entry::with_sides(&[16_000]);
         let mut running = Vec::new();
@@ -55,6 +56,6 @@
         };
         entry.reports(62, 0, vec![resume]);
         let effects = entry.status(63, 0, 16_000, 0, None, Vec::new());
-        assert_eq!(confirmed(&effects).len(), usize::from(tasks));
+        assert_eq!(acknowledged_reports(&effects).len(), usize::from(tasks));
     }
 }
--- a/crates/mastknot_core/tests/crash_suspects.rs
+++ b/crates/mastknot_core/tests/crash_suspects.rs
@@ -193,7 +193,7 @@
     let mut side = Side::ready();
     side.join(1_000, OTHER, "entry-2", 1);
     let effects = side.order(1_001, ENTRY, side::start(1, 1_000));
-    let number = side::look_number(&effects).expect("a look is under way");
+    let number = side::probe_number(&effects).expect("a probe is under way");
     let result = Err(ProbeFailure::Refused);
     let effects = side.step(1_011, AgentEvent::Probed { number, result });
     assert_eq!(told(&effects), [(ENTRY, 0), (OTHER, 0)]);
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -40,9 +40,9 @@
     KnownLoad {
         side: "side-1".into(),
         hall: "hall".into(),
-        capacity: common::entry::target_room(16_000),
+        capacity: common::entry::target_capacity(16_000),
         slowdown: pace,
-        free: common::entry::target_room(free),
+        free: common::entry::target_capacity(free),
         load: SideLoad {
             waiting,
             entries: 2,
--- a/crates/mastknot_core/tests/held_grants.rs
+++ b/crates/mastknot_core/tests/held_grants.rs
@@ -62,7 +62,7 @@
 
 fn grant(entry: &mut Entry, cpu_millis: u32, valid_ms: u32, is_offer: bool) -> SideReport {
     let grant = CapacityGrant {
-        capacity: target_room(cpu_millis),
+        capacity: target_capacity(cpu_millis),
         valid_ms,
         ..CapacityGrant::default()
     };
--- a/crates/mastknot_core/tests/linked_again.rs
+++ b/crates/mastknot_core/tests/linked_again.rs
@@ -14,7 +14,7 @@
 }
 
 fn answer_listing(side: &mut Side, ms: u64, effects: &[AgentEffect]) -> Vec<AgentEffect> {
-    let number = look_number(effects).expect("a look is under way");
+    let number = probe_number(effects).expect("a probe is under way");
     let running = vec![TargetRunning {
         run: run(1),
         percent: (ms % 50) as u8,
--- a/crates/mastknot_core/tests/room_grants.rs
+++ b/crates/mastknot_core/tests/room_grants.rs
@@ -193,8 +193,8 @@
 fn ending_soon() -> (Side, Vec<AgentEffect>) {
     let mut side = Side::unknown();
     let effects = side.step(0, AgentEvent::Tick);
-    let effects = side.answer_look(1, &effects, 1_000, Vec::new());
-    side.answer_look(3, &effects, 1_002, Vec::new());
+    let effects = side.answer_probe(1, &effects, 1_000, Vec::new());
+    side.answer_probe(3, &effects, 1_002, Vec::new());
     side.step(4, AgentEvent::TargetReported(report("target-1", 1)));
     side.join(1_000, ENTRY, "entry-1", 1);
     side.join(1_000, OTHER, "entry-2", 1);
@@ -202,7 +202,7 @@
         side.order(1_000, session, heartbeat(1, 0, 0));
     }
     let effects = side.order(1_002, ENTRY, start(1, 2_000));
-    let number = look_number(&effects).expect("a look is under way");
+    let number = probe_number(&effects).expect("a probe is under way");
     side.order(1_002, ENTRY, start(2, 2_000));
     let running = |job, percent| TargetRunning {
         run: run(job),
@@ -248,7 +248,7 @@
         run: run(1),
         reason: FinishReason::Done,
     };
-    let number = look_number(looked).expect("a look is under way");
+    let number = probe_number(looked).expect("a probe is under way");
     let view = TargetView {
         clock_ms: ms + 994,
         started_at_ms: 0,
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -377,7 +377,7 @@
 
     fn step(&mut self, event: AgentEvent) -> Vec<AgentEffect> {
         let effects = self.side.step(self.now, event);
-        self.look = side::look_number(&effects).unwrap_or(self.look);
+        self.look = side::probe_number(&effects).unwrap_or(self.look);
         for effect in &effects {
             if let AgentEffect::Send {
                 session,
--- a/crates/mastknot_core/tests/target_crashes.rs
+++ b/crates/mastknot_core/tests/target_crashes.rs
@@ -46,7 +46,7 @@
     started(&mut side, 1_002, 1);
     side.order(1_031, ENTRY, start(2, 1_000));
     started(&mut side, 1_032, 2);
-    let number = look_number(&effects).expect("a look is under way");
+    let number = probe_number(&effects).expect("a probe is under way");
     (side, number)
 }
 
@@ -91,7 +91,7 @@
                 effects
             }
         };
-        let number = look_number(&effects).expect("the target is looked at again at once");
+        let number = probe_number(&effects).expect("the target is looked at again at once");
         let effects = looked(&mut side, 1_042, number, ProbeFailure::Refused);
         let crash = crashes(&effects).pop().expect("the target has crashed");
         assert!(!crash.was_silent, "refused first: {is_refused_first}");
@@ -109,7 +109,7 @@
         outcome: OrderOutcome::Unreachable,
     };
     let effects = side.step(1_133, refused);
-    let number = look_number(&effects).expect("the target is looked at again at once");
+    let number = probe_number(&effects).expect("the target is looked at again at once");
     let effects = looked(&mut side, 1_134, number, ProbeFailure::Refused);
     let crash = crashes(&effects).pop().expect("the target has crashed");
     assert!(crash.was_silent);
@@ -143,7 +143,7 @@
             Some(number) => looked(side, ms, number, ProbeFailure::Silent),
             None => side.step(ms, AgentEvent::Tick),
         };
-        number = look_number(&effects);
+        number = probe_number(&effects);
         if ends(&effects).contains(&EndOfRun::Lost) || side.agent.runs().is_empty() {
             return (ms, effects);
         }
@@ -162,7 +162,7 @@
         if !seen.is_empty() {
             break;
         }
-        effects = match look_number(&effects) {
+        effects = match probe_number(&effects) {
             Some(number) => looked(&mut side, ms + later * 10, number, ProbeFailure::Refused),
             None => side.step(ms + later * 10, AgentEvent::Tick),
         };
@@ -180,16 +180,16 @@
     let (ms, effects) = fall_silent(&mut side, number);
     let mut effects = effects;
     for later in 1..100 {
-        if look_number(&effects).is_some() {
+        if probe_number(&effects).is_some() {
             break;
         }
         effects = side.step(ms + later * 10, AgentEvent::Tick);
     }
-    let effects = side.answer_look(ms + 1_000, &effects, ms + 2_000, Vec::new());
+    let effects = side.answer_probe(ms + 1_000, &effects, ms + 2_000, Vec::new());
     assert_eq!(crashes(&effects), []);
     side.join(ms + 1_001, ENTRY, "entry-1", 1);
     let effects = side.order(ms + 1_002, ENTRY, start(3, 1_000));
-    let number = look_number(&effects).expect("a look is under way");
+    let number = probe_number(&effects).expect("a probe is under way");
     let effects = looked(&mut side, ms + 1_012, number, ProbeFailure::Refused);
     let jobs = crashes(&effects).into_iter().flat_map(|crash| crash.runs);
     let jobs: Vec<u64> = jobs.map(|row| row.run.task.job.0).collect();
--- a/crates/mastknot_core/tests/target_lives.rs
+++ b/crates/mastknot_core/tests/target_lives.rs
@@ -22,7 +22,7 @@
 
 /// Answers the look under way: the life that it asks for is there and runs this.
 fn alive(side: &mut Side, ms: u64, effects: &[AgentEffect], running: &[u64]) -> Vec<AgentEffect> {
-    let number = look_number(effects).expect("a look is under way");
+    let number = probe_number(effects).expect("a probe is under way");
     let running = running.iter().map(|job| TargetRunning {
         run: run(*job),
         percent: 10,
@@ -38,7 +38,7 @@
 
 /// Answers the look under way: another life is there.
 fn over(side: &mut Side, ms: u64, effects: &[AgentEffect]) -> Vec<AgentEffect> {
-    let number = look_number(effects).expect("a look is under way");
+    let number = probe_number(effects).expect("a probe is under way");
     let result = Err(ProbeFailure::OtherIncarnation);
     side.step(ms, AgentEvent::Probed { number, result })
 }
@@ -59,7 +59,7 @@
     side.order(1_002, ENTRY, start(1, 1_000));
     let effects = side.step(1_010, reported(report("target-1", 9)));
     assert_eq!(ends(&effects), []);
-    assert_eq!(look_number(&effects), None, "it is known to be over");
+    assert_eq!(probe_number(&effects), None, "it is known to be over");
     assert_eq!(target_name(&side), "target-2");
     assert_eq!(side.agent.runs().len(), 1);
 }
@@ -93,7 +93,7 @@
     let mut side = Side::ready();
     let mut effects = side.step(1_010, reported(report("target-2", 1)));
     for ms in [1_100, 1_250, 1_400, 1_550] {
-        let Some(number) = look_number(&effects) else {
+        let Some(number) = probe_number(&effects) else {
             effects = side.step(ms, AgentEvent::Tick);
             continue;
         };
@@ -108,7 +108,7 @@
 fn a_target_that_refused_a_connection_is_taken_again() {
     let mut side = Side::ready();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
-    let number = look_number(&effects).expect("a look is under way");
+    let number = probe_number(&effects).expect("a probe is under way");
     let result = Err(ProbeFailure::Refused);
     side.step(1_010, AgentEvent::Probed { number, result });
     assert!(side.agent.target().is_none());
@@ -144,7 +144,7 @@
             let late = report(&format!("target-{}", place / 3 + 1), place);
             let effects = side.step(ms, reported(late));
             assert_eq!(ends(&effects), [], "seed {seed}");
-            if look_number(&effects).is_some() {
+            if probe_number(&effects).is_some() {
                 let effects = alive(&mut side, ms + 1, &effects, &[1]);
                 assert_eq!(ends(&effects), [], "seed {seed}");
             }
--- a/crates/mastknot_core/tests/target_pace.rs
+++ b/crates/mastknot_core/tests/target_pace.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::entry::{Entry, at, ended, job, starts};
-use common::side::{ENTRY, Side, look_number, run, start};
+use common::side::{ENTRY, Side, probe_number, run, start};
 use mastknot_core::agent::{AgentEffect, AgentEvent, OrderOutcome, TargetRunning, TargetView};
 use mastknot_core::job::{EndOfRun, KnownEntry, SideReport};
 use mastknot_core::scheduler::SchedulerEvent;
@@ -41,7 +41,7 @@
         }],
         finished: Vec::new(),
     };
-    let number = look_number(&started).expect("a look is under way");
+    let number = probe_number(&started).expect("a probe is under way");
     let result = Ok(view);
     let mut effects = side.step(1_061, AgentEvent::Probed { number, result });
     effects.extend(side.step(1_150, AgentEvent::Tick));
@@ -68,14 +68,14 @@
 /// The runs that a new job gets at the slow target; all of its runs end at once.
 fn tries_at_slow_target(entry: &mut Entry, ms: u64) -> usize {
     for (side, pace) in PACES.into_iter().enumerate() {
-        entry.paced_status(ms, side as u64, pace, Vec::new());
+        entry.status_with_slowdown(ms, side as u64, pace, Vec::new());
     }
     let effects = entry.submit(ms, ms, job(ms, 12, 100), 9_000);
     let starts = starts(&effects);
     for (side, run) in &starts {
         let pace = PACES[*side as usize];
         let ends = vec![ended(*run, EndOfRun::Done)];
-        entry.paced_status(ms + 50, *side, pace, ends);
+        entry.status_with_slowdown(ms + 50, *side, pace, ends);
     }
     starts.iter().filter(|(side, _)| *side == 2).count()
 }
--- a/crates/mastknot_core/tests/target_rebirths.rs
+++ b/crates/mastknot_core/tests/target_rebirths.rs
@@ -35,7 +35,7 @@
 
 /// Answers the look under way.
 fn answer(side: &mut Side, ms: u64, effects: &[AgentEffect], view: TargetView) -> Vec<AgentEffect> {
-    let number = look_number(effects).expect("a look is under way");
+    let number = probe_number(effects).expect("a probe is under way");
     let result = Ok(view);
     side.step(ms, AgentEvent::Probed { number, result })
 }
@@ -101,7 +101,10 @@
     assert_eq!(side.agent.target(), Some(&shrunk.profile));
     assert_eq!(side.agent.free_capacity().cpu_millis, 1_000);
     let effects = side.step(400, reported(SECOND, 1));
-    assert!(look_number(&effects).is_some(), "another life is asked for");
+    assert!(
+        probe_number(&effects).is_some(),
+        "another life is asked for"
+    );
     assert_eq!(side.agent.target(), Some(&shrunk.profile));
 }
 
@@ -110,7 +113,7 @@
 fn a_look_tells_that_another_life_answers() {
     let mut side = side();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
-    let effects = match look_number(&effects) {
+    let effects = match probe_number(&effects) {
         Some(_) => effects,
         None => started(&mut side, 1_002, 1, OLD_CLOCK_MS + 998),
     };
@@ -146,9 +149,9 @@
 fn the_next_life_is_looked_at_with_a_higher_token() {
     let mut side = side();
     let effects = side.step(1_010, reported(SECOND, 1));
-    let before = look_token(&effects).expect("a look is under way");
+    let before = look_token(&effects).expect("a probe is under way");
     let effects = answer(&mut side, 1_011, &effects, view(SECOND, 20, &[]));
-    let first = look_token(&effects).expect("a look is under way");
+    let first = look_token(&effects).expect("a probe is under way");
     assert!(first > before, "{first}, before {before}");
     let effects = answer(&mut side, 1_012, &effects, view(SECOND, 21, &[]));
     assert!(ordered(&effects).is_empty());
@@ -194,7 +197,7 @@
     let mut side = side();
     side.order(1_001, ENTRY, start(1, 1_000));
     let effects = started(&mut side, 1_002, 1, 25);
-    assert!(look_number(&effects).is_some());
+    assert!(probe_number(&effects).is_some());
     let effects = answer(&mut side, 1_003, &effects, view(SECOND, 26, &[1]));
     assert_eq!(ends(&effects), []);
     assert_eq!(stopped(&effects), [run(1)]);
@@ -208,12 +211,12 @@
     let mut effects = side.step(0, AgentEvent::Tick);
     let fence = OLD_CLOCK_MS;
     for ms in 1..40 {
-        let token = look_token(&effects).expect("a look is under way");
+        let token = look_token(&effects).expect("a probe is under way");
         if token >= fence {
             return;
         }
         let clock_ms = 1_000 + ms;
-        let number = look_number(&effects).expect("a look is under way");
+        let number = probe_number(&effects).expect("a probe is under way");
         let result = Err(ProbeFailure::Fenced { clock_ms });
         effects = side.step(ms, AgentEvent::Probed { number, result });
     }
@@ -339,7 +342,7 @@
         &effects,
         view(FIRST, OLD_CLOCK_MS + 1_005, &[1]),
     );
-    let number = look_number(&effects).expect("a look is under way");
+    let number = probe_number(&effects).expect("a probe is under way");
     side.order(1_010, ENTRY, start(2, 1_000));
     started(&mut side, 1_011, 2, OLD_CLOCK_MS + 1_008);
     let result = Err(ProbeFailure::Refused);
--- a/crates/mastknot_core/tests/unanswered_stops.rs
+++ b/crates/mastknot_core/tests/unanswered_stops.rs
@@ -35,7 +35,7 @@
     effects: &[AgentEffect],
     jobs: &[u64],
 ) -> Vec<AgentEffect> {
-    let number = look_number(effects).expect("a look is under way");
+    let number = probe_number(effects).expect("a probe is under way");
     let running = jobs.iter().map(|job| TargetRunning {
         run: run(*job),
         percent: 40,
--- a/crates/mastknot_core/tests/wrong_memory.rs
+++ b/crates/mastknot_core/tests/wrong_memory.rs
@@ -13,7 +13,7 @@
 use mastknot_core::types::Incarnation;
 
 fn listing(side: &mut Side, ms: u64, effects: &[AgentEffect], born_ms: u64) -> Vec<AgentEffect> {
-    let number = look_number(effects).expect("a look is under way");
+    let number = probe_number(effects).expect("a probe is under way");
     let result = Ok(TargetView {
         clock_ms: 1_000 + ms,
         started_at_ms: born_ms,
@@ -76,7 +76,7 @@
     assert_eq!(resumed(&welcomed), Some(vec![run(1)]));
     let adopted = side.order(6, ENTRY, adopt());
     let effects = listing(&mut side, 7, &[effects, welcomed, adopted].concat(), 0);
-    let number = look_number(&effects).expect("a look that names the remembered life");
+    let number = probe_number(&effects).expect("a look that names the remembered life");
     let result = Err(ProbeFailure::OtherIncarnation);
     let effects = side.step(8, AgentEvent::Probed { number, result });
     assert_eq!(ends(&effects), []);
