--- a/crates/mastknot_core/tests/claiming.rs
+++ b/crates/mastknot_core/tests/claiming.rs
@@ -1,4 +1,4 @@
-//! Claims of an entry: it starts nothing of a job that another one may have.
+//! Claims of an entry: it starts no task of a job that another entry may own.
 
 mod common;
 
@@ -32,7 +32,7 @@
     entry_named("entry-1", SIDES)
 }
 
-/// The sides that are asked, and about which jobs.
+/// Returns the claims that are sent, as pairs of side and job.
 fn claims(effects: &[SchedulerEffect]) -> Vec<(u64, u64)> {
     let claims = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send {
@@ -44,7 +44,7 @@
     claims.collect()
 }
 
-/// The sides at which jobs are released, and which.
+/// Returns the releases of claims that are sent, as pairs of side and job.
 fn releases(effects: &[SchedulerEffect]) -> Vec<(u64, u64)> {
     let releases = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send {
@@ -76,19 +76,19 @@
     answer(entry, ms, side, ClaimAnswer::Granted)
 }
 
-fn hold(entry: &mut Entry, ms: u64, side: u64) -> Vec<SchedulerEffect> {
+fn answer_held(entry: &mut Entry, ms: u64, side: u64) -> Vec<SchedulerEffect> {
     let by = "entry-2".into();
     answer(entry, ms, side, ClaimAnswer::Held { by })
 }
 
-/// Hands in a job of one task; returns the sides that are asked about it, in the order of their ranks.
+/// Submits a job of one task and returns the two sides at which it is claimed, in the order of their ranks.
 fn submit(entry: &mut Entry, ms: u64, left: u64) -> [u64; 2] {
     let effects = entry.submit(ms, 1, job(1, 1, 900), left);
     assert_eq!(starts(&effects), []);
-    two_claims(&effects)
+    sides_of_two_claims(&effects)
 }
 
-fn two_claims(effects: &[SchedulerEffect]) -> [u64; 2] {
+fn sides_of_two_claims(effects: &[SchedulerEffect]) -> [u64; 2] {
     let [(first, 1), (second, 1)] = claims(effects)[..] else {
         panic!("two claims: {effects:?}");
     };
@@ -96,14 +96,14 @@
     [first, second]
 }
 
-/// Both sides grant a job; returns what starts, all of it after the second grant.
+/// Grants a job at both sides and returns its starts, all of which follow the second grant.
 fn grant_both(entry: &mut Entry, ms: u64, sides: [u64; 2]) -> Vec<(u64, RunId)> {
     assert_eq!(starts(&grant(entry, ms, sides[0])), []);
     starts(&grant(entry, ms, sides[1]))
 }
 
-/// Hands in a job of one task whose claim is granted; returns the sides of the claim, and the run with its side.
-fn begin(entry: &mut Entry, ms: u64, left: u64) -> ([u64; 2], u64, RunId) {
+/// Submits a job of one task and grants its claim; returns the sides of the claim, and the run with its side.
+fn start_claimed(entry: &mut Entry, ms: u64, left: u64) -> ([u64; 2], u64, RunId) {
     let holders = submit(entry, ms, left);
     let [(side, run)] = grant_both(entry, ms + 2, holders)[..] else {
         panic!("one start");
@@ -111,23 +111,23 @@
     (holders, side, run)
 }
 
-/// All sides but some report on; returns what the entry does meanwhile, and when.
-fn go_on(
+/// Lets all sides except `silent` report every 10 ms; returns the effects of the entry with their times.
+fn keep_reporting(
     entry: &mut Entry,
     from: u64,
     until: u64,
-    but: Option<u64>,
+    silent: Option<u64>,
 ) -> Vec<(u64, Vec<SchedulerEffect>)> {
     let mut done = Vec::new();
     for ms in (from..until).step_by(10) {
-        for side in (0..SIDES).filter(|side| Some(*side) != but) {
+        for side in (0..SIDES).filter(|side| Some(*side) != silent) {
             done.push((ms, entry.status(ms, side, 16_000, 1, None, Vec::new())));
         }
     }
     done
 }
 
-/// When something of a kind is sent, and to which side.
+/// Returns the time and the side of each message that `kind` selects.
 fn times_of(
     done: &[(u64, Vec<SchedulerEffect>)],
     kind: impl Fn(&[SchedulerEffect]) -> Vec<(u64, u64)>,
@@ -151,11 +151,11 @@
     for first_to_grant in [0, 1] {
         let mut entry = entry();
         let sides = submit(&mut entry, 10, 2_000);
-        let waited = go_on(&mut entry, 20, 50, None);
+        let waited = keep_reporting(&mut entry, 20, 50, None);
         assert!(waited.iter().all(|(_, effects)| starts(effects).is_empty()));
         let (one, other) = (sides[first_to_grant], sides[1 - first_to_grant]);
         assert_eq!(starts(&grant(&mut entry, 52, one)), []);
-        let waited = go_on(&mut entry, 60, 90, None);
+        let waited = keep_reporting(&mut entry, 60, 90, None);
         assert!(waited.iter().all(|(_, effects)| starts(effects).is_empty()));
         assert_eq!(starts(&grant(&mut entry, 92, other)).len(), 1);
     }
@@ -179,14 +179,14 @@
 }
 
 #[test]
-fn entries_that_are_cut_off_from_one_side_each_ask_a_side_that_the_others_ask() {
-    let mut whole = entry_named("entry-1", 4);
+fn entries_that_are_disconnected_from_one_side_still_claim_at_a_side_that_others_ask() {
+    let mut fully_linked = entry_named("entry-1", 4);
     for id in 1..=50 {
-        let asked = claims(&whole.submit(10, id, job(id, 1, 100), 2_000));
+        let asked = claims(&fully_linked.submit(10, id, job(id, 1, 100), 2_000));
         for lost in 0..4 {
             let mut cut_off = entry_named("entry-2", 4);
             cut_off.link_down(10, lost);
-            go_on(&mut cut_off, 20, 200, Some(lost));
+            keep_reporting(&mut cut_off, 20, 200, Some(lost));
             let others = claims(&cut_off.submit(200, id, job(id, 1, 100), 2_000));
             assert_eq!(others.len(), 2, "job {id}, side {lost}");
             assert!(others.iter().any(|other| asked.contains(other)), "job {id}");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_job_whose_side_goes_before_it_answers_is_claimed_at_the_next() {
+fn a_job_whose_side_disconnects_before_it_answers_is_claimed_at_the_next() {
     let mut entry = entry();
     let [first, second] = submit(&mut entry, 10, 2_000);
     let effects = entry.link_down(20, first);
@@ -206,9 +206,9 @@
     assert_eq!(grant_both(&mut entry, 22, [second, next]).len(), 1);
 }
 
-/// Nothing that is linked is sure to be asked by others: both may link again at once.
+/// No linked side is certain to be claimed at by other entries too: both sides of the claim may link again at once.
 #[test]
-fn a_job_both_of_whose_sides_go_waits_for_their_links() {
+fn a_job_both_of_whose_sides_disconnect_waits_for_their_links() {
     let mut entry = entry_named("entry-1", 5);
     let sides = submit(&mut entry, 10, 2_000);
     let effects = entry.link_down(20, sides[0]);
@@ -223,14 +223,14 @@
         asked.extend(claims(&effects).into_iter().map(|(side, _)| (ms, side)));
     }
     let [(100, fourth)] = asked[..] else {
-        panic!("claimed at the next after the time of a heartbeat: {asked:?}");
+        panic!("claimed at the next side after one heartbeat interval: {asked:?}");
     };
     assert!(![sides[0], sides[1], third].contains(&fourth));
     assert_eq!(starts(&grant(&mut entry, 200, fourth)).len(), 1);
 }
 
 #[test]
-fn a_side_that_was_not_asked_last_grants_nothing() {
+fn a_grant_of_a_side_that_was_not_asked_is_ignored() {
     let mut entry = entry();
     let sides = submit(&mut entry, 10, 2_000);
     let other = (0..SIDES).find(|side| !sides.contains(side));
@@ -240,9 +240,9 @@
 }
 
 #[test]
-fn a_job_that_has_begun_goes_on_when_the_side_of_its_claim_goes() {
+fn a_started_job_continues_when_the_side_of_its_claim_disconnects() {
     let mut entry = entry();
-    let (holders, runs_at, run) = begin(&mut entry, 10, 2_000);
+    let (holders, runs_at, run) = start_claimed(&mut entry, 10, 2_000);
     let effects = entry.link_down(20, holders[0]);
     assert_eq!(stops(&effects), []);
     let [(next, 1)] = claims(&effects)[..] else {
@@ -257,36 +257,36 @@
 }
 
 #[test]
-fn a_claim_without_an_answer_gives_up_its_link_after_the_usual_silence() {
+fn a_claim_without_an_answer_closes_its_link_after_the_silence_timeout() {
     let mut entry = entry();
     let effects = entry.submit(10, 1, job(1, 1, 3_000), 9_000);
-    let [first, second] = two_claims(&effects);
+    let [first, second] = sides_of_two_claims(&effects);
     grant(&mut entry, 12, second);
-    let done = go_on(&mut entry, 20, 500, None);
+    let done = keep_reporting(&mut entry, 20, 500, None);
     let is_close = |effect: &SchedulerEffect| matches!(effect, SchedulerEffect::Close { .. });
     let closed = done
         .iter()
         .filter(|(_, effects)| effects.iter().any(is_close));
     let closed: Vec<u64> = closed.map(|(ms, _)| *ms).collect();
-    assert_eq!(closed, [360], "350 ms after it was asked");
+    assert_eq!(closed, [360], "350 ms after the claim was sent");
     let asked = times_of(&done, claims);
     assert_eq!(asked.len(), 1, "{asked:?}");
     assert_eq!(
         asked[0].0, 360,
-        "at once: the second side is asked by all others too"
+        "at once: all other entries claim at the second side too"
     );
     assert!(![first, second].contains(&asked[0].1));
     assert_eq!(entry.scheduler.counters().claims_unanswered, 1);
 }
 
 #[test]
-fn a_job_that_another_entry_has_is_not_called_not_run() {
+fn a_job_that_another_entry_owns_is_not_reported_as_not_run() {
     for place in [0, 1] {
         let mut entry = entry();
         let sides = submit(&mut entry, 10, 1_000);
-        hold(&mut entry, 12, sides[place]);
+        answer_held(&mut entry, 12, sides[place]);
         grant(&mut entry, 12, sides[1 - place]);
-        let done = go_on(&mut entry, 20, 1_500, None);
+        let done = keep_reporting(&mut entry, 20, 1_500, None);
         let given = done.iter().flat_map(|(_, effects)| answers(effects));
         let given: Vec<(u64, JobAnswer)> = given.collect();
         assert_eq!(given, [(1, JobAnswer::TimedOut)]);
@@ -295,36 +295,36 @@
 }
 
 #[test]
-fn a_job_that_another_entry_had_starts_when_it_is_granted() {
+fn a_job_that_another_entry_owned_starts_when_it_is_granted() {
     let mut entry = entry();
     let sides = submit(&mut entry, 10, 2_000);
     for side in sides {
-        assert_eq!(starts(&hold(&mut entry, 12, side)), []);
+        assert_eq!(starts(&answer_held(&mut entry, 12, side)), []);
     }
-    let done = go_on(&mut entry, 20, 900, None);
+    let done = keep_reporting(&mut entry, 20, 900, None);
     assert!(done.iter().all(|(_, effects)| starts(effects).is_empty()));
     assert_eq!(grant_both(&mut entry, 902, sides).len(), 1);
     assert_eq!(entry.scheduler.counters().claims_awaited, 1);
 }
 
-/// Else two entries that each hold one of the sides would wait for each other.
+/// Otherwise two entries that each hold one of the sides would wait for each other.
 #[test]
-fn an_entry_that_waits_at_the_first_side_gives_the_second_back() {
+fn an_entry_that_waits_at_the_first_side_releases_the_second() {
     for is_granted_first in [true, false] {
         let mut entry = entry();
         let [first, second] = submit(&mut entry, 10, 2_000);
         let effects = match is_granted_first {
             true => {
                 grant(&mut entry, 12, second);
-                hold(&mut entry, 13, first)
+                answer_held(&mut entry, 13, first)
             }
             false => {
-                hold(&mut entry, 12, first);
+                answer_held(&mut entry, 12, first);
                 grant(&mut entry, 13, second)
             }
         };
         assert_eq!(releases(&effects), [(second, 1)]);
-        let done = go_on(&mut entry, 20, 900, None);
+        let done = keep_reporting(&mut entry, 20, 900, None);
         assert_eq!(times_of(&done, claims), []);
         let effects = grant(&mut entry, 902, first);
         assert_eq!(claims(&effects), [(second, 1)]);
@@ -338,8 +338,8 @@
     let mut entry = entry();
     let [first, second] = submit(&mut entry, 10, 2_000);
     assert_eq!(releases(&grant(&mut entry, 12, first)), []);
-    assert_eq!(releases(&hold(&mut entry, 13, second)), []);
-    let done = go_on(&mut entry, 20, 900, None);
+    assert_eq!(releases(&answer_held(&mut entry, 13, second)), []);
+    let done = keep_reporting(&mut entry, 20, 900, None);
     assert_eq!(times_of(&done, releases), []);
     assert_eq!(starts(&grant(&mut entry, 900, second)).len(), 1);
 }
@@ -347,7 +347,7 @@
 #[test]
 fn a_claim_is_released_when_the_last_run_is_over_and_not_before() {
     let mut entry = entry();
-    let (holders, side, run) = begin(&mut entry, 10, 2_000);
+    let (holders, side, run) = start_claimed(&mut entry, 10, 2_000);
     let effects = abandon(&mut entry, 20);
     assert_eq!(stops(&effects), [run]);
     assert_eq!(releases(&effects), []);
@@ -360,7 +360,7 @@
 #[test]
 fn a_claim_is_released_with_the_answer() {
     let mut entry = entry();
-    let (holders, side, run) = begin(&mut entry, 10, 2_000);
+    let (holders, side, run) = start_claimed(&mut entry, 10, 2_000);
     let done = vec![ended(run, EndOfRun::Done)];
     let effects = entry.status(70, side, 16_000, 1, None, done);
     assert_eq!(answers(&effects), [(1, JobAnswer::Completed)]);
@@ -370,8 +370,8 @@
 #[test]
 fn a_claim_is_renewed_while_a_stopped_run_is_not_known_to_be_over() {
     let mut entry = entry();
-    let (holders, side, run) = begin(&mut entry, 10, 1_000);
-    let done = go_on(&mut entry, 20, 3_000, None);
+    let (holders, side, run) = start_claimed(&mut entry, 10, 1_000);
+    let done = keep_reporting(&mut entry, 20, 3_000, None);
     assert_eq!(times_of(&done, releases), []);
     for holder in holders {
         let renewed = times_of(&done, claims).into_iter();
@@ -379,7 +379,7 @@
             .filter(|(_, side)| *side == holder)
             .map(|(ms, _)| ms)
             .collect();
-        // It was asked for until 600 ms after the deadline, and once more that long.
+        // The claim lasts until 600 ms after the deadline; each renewal extends it by as much.
         assert!(renewed.len() >= 2, "{renewed:?}");
         let first = renewed.first();
         assert!(first.is_some_and(|ms| *ms <= 1_010 + 1_200), "{renewed:?}");
@@ -392,11 +392,11 @@
 }
 
 #[test]
-fn a_caller_that_leaves_while_its_job_waits_gives_up_its_place() {
+fn a_caller_that_leaves_while_its_job_waits_releases_its_claims() {
     let mut entry = entry();
     let sides = submit(&mut entry, 10, 2_000);
     for side in sides {
-        hold(&mut entry, 12, side);
+        answer_held(&mut entry, 12, side);
     }
     let released = sides.map(|side| (side, 1));
     assert_eq!(releases(&abandon(&mut entry, 20)), released);
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_answer_gives_up_its_claim() {
+fn a_caller_that_leaves_before_the_answer_releases_its_claims() {
     let mut entry = entry();
     let sides = submit(&mut entry, 10, 2_000);
     let released = sides.map(|side| (side, 1));
@@ -422,11 +422,11 @@
     assert_eq!(starts(&grant(&mut entry, 24, 0)).len(), 1);
 }
 
-/// An entry all of whose links have gone at 1,000 ms, and the sides that others ask about the job.
-fn woken() -> (Entry, [u64; 2]) {
+/// Returns an entry that lost all its links at 1,000 ms, and the sides at which other entries claim the job.
+fn reactivated_entry() -> (Entry, [u64; 2]) {
     let mut entry = entry();
     let asked = submit(&mut entry.clone(), 10, 2_000);
-    go_on(&mut entry, 20, 1_000, None);
+    keep_reporting(&mut entry, 20, 1_000, None);
     for side in 0..SIDES {
         entry.link_down(1_000, side);
     }
@@ -434,8 +434,8 @@
 }
 
 #[test]
-fn a_woken_entry_does_not_claim_at_whichever_side_links_first() {
-    let (mut entry, asked) = woken();
+fn a_reactivated_entry_does_not_claim_at_just_any_side_that_links_first() {
+    let (mut entry, asked) = reactivated_entry();
     let effects = entry.submit(1_001, 1, job(1, 1, 900), 2_000);
     assert_eq!(claims(&effects), []);
     for other in (0..SIDES).filter(|side| !asked.contains(side)) {
@@ -449,9 +449,9 @@
 }
 
 #[test]
-fn a_side_that_does_not_come_back_is_waited_for_no_longer_than_runs_last() {
-    let (mut entry, asked) = woken();
-    // It would be refused after a quarter of its objective, 815 ms.
+fn a_side_that_does_not_reconnect_is_awaited_no_longer_than_its_runs_can_last() {
+    let (mut entry, asked) = reactivated_entry();
+    // The job would be refused after a quarter of its objective, 815 ms.
     entry.submit(1_001, 1, job(1, 1, 2_000), 9_000);
     let other = (0..SIDES).find(|side| !asked.contains(side));
     let other = other.expect("three sides");
@@ -465,9 +465,9 @@
 }
 
 #[test]
-fn a_woken_entry_claims_once_one_of_the_sides_stands_that_others_ask() {
+fn a_reactivated_entry_claims_once_it_is_linked_to_a_side_that_others_ask() {
     for place in [0, 1] {
-        let (mut entry, asked) = woken();
+        let (mut entry, asked) = reactivated_entry();
         entry.submit(1_001, 1, job(1, 1, 900), 2_000);
         let other = (0..SIDES).find(|side| !asked.contains(side));
         let other = other.expect("three sides");
@@ -479,19 +479,19 @@
     }
 }
 
-/// A job of 40 tasks that has begun, and the sides that have granted it.
-fn half_begun(entry: &mut Entry) -> [u64; 2] {
+/// Submits a job of 80 tasks of which some start; returns the sides that have granted its claim.
+fn start_partly(entry: &mut Entry) -> [u64; 2] {
     let effects = entry.submit(10, 1, job(1, 80, 900), 2_000);
-    let holders = two_claims(&effects);
+    let holders = sides_of_two_claims(&effects);
     let begun = grant_both(entry, 12, holders).len();
-    assert!((1..80).contains(&begun), "{begun} of 80 find room");
+    assert!((1..80).contains(&begun), "{begun} of 80 find capacity");
     holders
 }
 
 #[test]
 fn a_job_whose_claim_was_lost_starts_nothing_more_until_it_is_claimed_again() {
     let mut entry = entry_named("entry-1", 5);
-    let holders = half_begun(&mut entry);
+    let holders = start_partly(&mut entry);
     let effects = entry.link_down(20, holders[0]);
     let [(third, 1)] = claims(&effects)[..] else {
         panic!("claimed at the next at once: {effects:?}");
@@ -510,14 +510,14 @@
 }
 
 #[test]
-fn a_job_goes_on_under_the_grant_that_is_left() {
+fn a_job_continues_under_the_remaining_grant() {
     let mut entry = entry_named("entry-1", 5);
-    let holders = half_begun(&mut entry);
+    let holders = start_partly(&mut entry);
     let effects = entry.link_down(20, holders[0]);
     let [(third, 1)] = claims(&effects)[..] else {
         panic!("claimed at the next at once: {effects:?}");
     };
-    let effects = hold(&mut entry, 22, third);
+    let effects = answer_held(&mut entry, 22, third);
     assert_eq!(answers(&effects), [], "the second side still grants it");
     assert_eq!(releases(&effects), []);
     let effects = entry.status(30, third, 16_000, 1, None, Vec::new());
@@ -526,9 +526,9 @@
 }
 
 #[test]
-fn a_job_that_was_lost_to_another_entry_is_given_up_and_not_called_not_run() {
+fn a_job_that_was_lost_to_another_entry_is_given_up_and_not_reported_as_not_run() {
     let mut entry = entry_named("entry-1", 5);
-    let (holders, runs_at, run) = begin(&mut entry, 10, 2_000);
+    let (holders, runs_at, run) = start_claimed(&mut entry, 10, 2_000);
     let next = holders.map(|holder| {
         let effects = entry.link_down(20, holder);
         let [(next, 1)] = claims(&effects)[..] else {
@@ -536,7 +536,7 @@
         };
         next
     });
-    let effects = hold(&mut entry, 22, next[0]);
+    let effects = answer_held(&mut entry, 22, next[0]);
     assert_eq!(answers(&effects), [(1, JobAnswer::TimedOut)]);
     if !holders.contains(&runs_at) {
         assert_eq!(stops(&effects), [run]);
@@ -544,8 +544,8 @@
     assert_eq!(entry.scheduler.counters().claims_conflicting, 1);
 }
 
-/// A side has started anew: it has forgotten all claims.
-fn start_anew(entry: &mut Entry, ms: u64, side: u64) -> Vec<SchedulerEffect> {
+/// Restarts a side, which has lost all claims; returns the effects of its new link.
+fn restart_side(entry: &mut Entry, ms: u64, side: u64) -> Vec<SchedulerEffect> {
     let hello = SideHello {
         side: format!("side-{side}").as_str().into(),
         incarnation: Incarnation(2),
@@ -563,7 +563,7 @@
     entry.reports(ms + 21, side, vec![resume])
 }
 
-/// Which claims are of jobs that the entry has had.
+/// Returns the side of each claim that is sent, and whether it renews a claim from before the side's restart.
 fn reclaims(effects: &[SchedulerEffect]) -> Vec<(u64, bool)> {
     let reclaims = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send {
@@ -576,18 +576,18 @@
 }
 
 #[test]
-fn a_job_that_was_granted_is_claimed_at_once_at_a_side_that_starts_anew() {
+fn a_job_that_was_granted_is_claimed_again_at_once_at_a_restarted_side() {
     let mut entry = entry();
-    let (holders, _, _) = begin(&mut entry, 10, 2_000);
-    let effects = start_anew(&mut entry, 20, holders[0]);
+    let (holders, _, _) = start_claimed(&mut entry, 10, 2_000);
+    let effects = restart_side(&mut entry, 20, holders[0]);
     assert_eq!(reclaims(&effects), [(holders[0], true)]);
 }
 
 #[test]
-fn a_new_job_is_claimed_elsewhere_until_a_side_that_starts_anew_takes_claims() {
+fn a_new_job_is_claimed_elsewhere_until_a_restarted_side_accepts_claims() {
     let mut entry = entry();
     let [first, second] = submit(&mut entry.clone(), 10, 2_000);
-    start_anew(&mut entry, 20, first);
+    restart_side(&mut entry, 20, first);
     let effects = entry.submit(50, 1, job(1, 1, 900), 2_000);
     let asked = reclaims(&effects);
     assert_eq!(asked.len(), 2, "{asked:?}");
@@ -598,14 +598,14 @@
 }
 
 #[test]
-fn a_job_that_another_entry_has_is_not_claimed_as_ones_own() {
+fn a_job_that_another_entry_owns_is_not_reclaimed() {
     let mut entry = entry();
     let sides = submit(&mut entry, 10, 2_000);
     for side in sides {
-        hold(&mut entry, 12, side);
+        answer_held(&mut entry, 12, side);
     }
     for side in 0..SIDES {
-        let effects = start_anew(&mut entry, 20, side);
+        let effects = restart_side(&mut entry, 20, side);
         assert_eq!(reclaims(&effects), []);
     }
 }
--- a/crates/mastknot_core/tests/crash_evidence.rs
+++ b/crates/mastknot_core/tests/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! What crashes say of the tasks that ran there, and of their kinds.
+//! Evidence that crashes of targets give about the tasks that ran there, and about the kinds of these tasks.
 
 mod common;
 
@@ -21,8 +21,8 @@
 const IMAGE: &str = "image";
 const TASKS_A_JOB: u16 = 4;
 
-/// A run of a job's task that was under way at a crash for this time.
-fn ran(job: u64, index: u16, ran_ms: u32) -> CrashedRun {
+/// Returns a run of a job's task that had been under way for this time when its target crashed.
+fn crashed_run(job: u64, index: u16, ran_ms: u32) -> CrashedRun {
     let task = TaskRef {
         job: JobId(job),
         step: 0,
@@ -37,18 +37,18 @@
     }
 }
 
-struct Told {
+struct Fixture {
     entry: Entry,
     crashes: u64,
 }
 
-impl Told {
+impl Fixture {
     fn new() -> Self {
         let entry = Entry::with_sides(&[16_000; SIDES as usize]);
         Self { entry, crashes: 0 }
     }
 
-    /// A side tells that its target has crashed.
+    /// Reports a crash of the side's target during these runs.
     fn crash(&mut self, ms: u64, side: u64, runs: &[CrashedRun]) -> Vec<SchedulerEffect> {
         self.crashes += 1;
         let crash = TargetCrash {
@@ -61,10 +61,11 @@
         self.entry.reports(ms, side, reports)
     }
 
-    /// Jobs of the contained kind do their work from this time on, one each 100 ms, while all sides are heard.
-    fn do_work(&mut self, ms: u64, jobs: u64) {
+    /// Submits jobs of the contained kind from this time on, one every 100 ms, and completes them; all sides keep
+    /// reporting.
+    fn run_jobs(&mut self, ms: u64, jobs: u64) {
         for ms in (0..jobs).map(|number| ms + 100 * number) {
-            let job = imaged(1_000 + ms, TASKS_A_JOB);
+            let job = job_with_image(1_000 + ms, TASKS_A_JOB);
             let started = self.entry.submit(ms, 1_000 + ms, job, 2_000);
             let started = starts(&started);
             assert_eq!(started.len(), usize::from(TASKS_A_JOB), "at {ms}");
@@ -83,170 +84,184 @@
         self.entry.scheduler.counters().kinds_released
     }
 
-    /// Whether a job that comes in is failed at once.
+    /// Submits a job and returns whether it is failed at once.
     fn is_failed(&mut self, ms: u64, id: u64) -> bool {
         let effects = self.entry.submit(ms, id, job(id, 1, 60), 2_000);
         answers(&effects) == [(id, FAILED)]
     }
 }
 
-/// What a caller saw: a job was failed for crashes that another job had brought about beside it.
+/// A job used to be failed for crashes that another job, running beside it, had caused.
 #[test]
-fn what_ran_beside_a_task_that_crashes_targets_is_cleared() {
-    let mut told = Told::new();
-    told.crash(10, 0, &[ran(7, 0, 12), ran(8, 0, 30)]);
-    told.crash(40, 1, &[ran(7, 0, 11)]);
-    let of_other_kind = of_kind(ran(9, 0, 12), kinds().1);
-    told.crash(80, 2, &[of_other_kind, ran(8, 0, 28)]);
-    assert!(told.is_failed(90, 7));
-    assert!(!told.is_failed(91, 8));
+fn unrelated_tasks_beside_a_task_that_crashes_targets_are_cleared() {
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[crashed_run(7, 0, 12), crashed_run(8, 0, 30)]);
+    fixture.crash(40, 1, &[crashed_run(7, 0, 11)]);
+    let of_other_kind = of_kind(crashed_run(9, 0, 12), kinds().1);
+    fixture.crash(80, 2, &[of_other_kind, crashed_run(8, 0, 28)]);
+    assert!(fixture.is_failed(90, 7));
+    assert!(!fixture.is_failed(91, 8));
 }
 
-/// Two tasks of two jobs ran alike in the same two crashes: a third crash tells which of them it was.
+/// Two tasks of two jobs had similar run times in the same two crashes; a third crash shows which of them caused it.
 #[test]
 fn two_jobs_that_may_both_have_crashed_the_same_targets_are_told_apart_by_the_third() {
-    let mut told = Told::new();
-    told.crash(10, 0, &[ran(7, 0, 14), ran(8, 0, 31)]);
-    let effects = told.crash(50, 1, &[ran(7, 0, 12), ran(8, 0, 29)]);
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[crashed_run(7, 0, 14), crashed_run(8, 0, 31)]);
+    let effects = fixture.crash(50, 1, &[crashed_run(7, 0, 12), crashed_run(8, 0, 29)]);
     assert_eq!(answers(&effects), []);
-    told.crash(80, 2, &[ran(7, 0, 13)]);
-    assert!(told.is_failed(90, 7));
-    assert!(!told.is_failed(91, 8));
+    fixture.crash(80, 2, &[crashed_run(7, 0, 13)]);
+    assert!(fixture.is_failed(90, 7));
+    assert!(!fixture.is_failed(91, 8));
 }
 
-/// Tasks of a wide job that began together have the same age when two targets crash together.
+/// Tasks of a wide job that started together have the same age when two targets crash together.
 #[test]
 fn tasks_that_began_together_do_not_hide_the_one_that_crashes_targets() {
-    let mut told = Told::new();
-    told.crash(10, 0, &[ran(7, 0, 10), ran(9, 1, 40)]);
-    told.crash(22, 1, &[ran(7, 0, 10), ran(9, 2, 46)]);
-    assert!(told.is_failed(30, 7));
-    assert!(!told.is_failed(31, 9));
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[crashed_run(7, 0, 10), crashed_run(9, 1, 40)]);
+    fixture.crash(22, 1, &[crashed_run(7, 0, 10), crashed_run(9, 2, 46)]);
+    assert!(fixture.is_failed(30, 7));
+    assert!(!fixture.is_failed(31, 9));
 }
 
-/// A run that had gone on for as long as expected may have done its work, and the word of that was lost.
+/// A run that lasted as long as expected may have completed, with the report of its end lost in the crash.
 #[test]
-fn two_crashes_under_runs_that_may_have_ended_tell_nothing() {
+fn two_crashes_during_runs_that_may_have_ended_confirm_nothing() {
     let late = |ran_ms| CrashedRun {
         may_have_ended: true,
-        ..ran(7, 0, ran_ms)
+        ..crashed_run(7, 0, ran_ms)
     };
-    let mut told = Told::new();
-    told.crash(10, 0, &[late(38)]);
-    told.crash(60, 1, &[late(32)]);
-    assert!(!told.is_failed(70, 7));
-    told.crash(120, 2, &[late(35)]);
-    assert!(told.is_failed(130, 7), "three alike tell");
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[late(38)]);
+    fixture.crash(60, 1, &[late(32)]);
+    assert!(!fixture.is_failed(70, 7));
+    fixture.crash(120, 2, &[late(35)]);
+    assert!(
+        fixture.is_failed(130, 7),
+        "three similar crashes confirm the task"
+    );
 }
 
 fn of_kind(run: CrashedRun, kind: TaskKind) -> CrashedRun {
     CrashedRun { kind, ..run }
 }
 
-/// The kind of the tasks of [`job`], and that of [`imaged`].
+/// Returns the kind of the tasks of [`job`] and that of the tasks of [`job_with_image`].
 fn kinds() -> (TaskKind, TaskKind) {
     let plain = TaskKind::new("queue", None);
     (plain, TaskKind::new("queue", Some(IMAGE)))
 }
 
-fn imaged(id: u64, tasks: u16) -> JobRequest {
+fn job_with_image(id: u64, tasks: u16) -> JobRequest {
     let mut request = job(id, tasks, 60);
     request.steps[0].image = Some(Arc::from(IMAGE));
     request
 }
 
-/// A sound task that stood on two targets which tasks of another kind crashed, each a new one, was failed and its kind contained.
+/// A healthy task that was running on two targets, each crashed by a new task of another kind, used to be failed, and
+/// its kind contained.
 #[test]
-fn a_task_is_not_taken_for_what_the_tasks_of_another_kind_have_done() {
-    let (sound, bad) = kinds();
-    let sound_run = |job, ran_ms| of_kind(ran(job, 0, ran_ms), sound);
-    let bad_run = |job| of_kind(ran(job, 0, 10), bad);
-    let mut told = Told::new();
-    told.crash(10, 0, &[bad_run(7), sound_run(1, 18)]);
-    told.crash(21, 1, &[bad_run(8), sound_run(1, 9)]);
-    assert_eq!(told.entry.scheduler.counters().kinds_contained, 0);
-    assert!(!told.is_failed(22, 1));
-    told.crash(50, 2, &[bad_run(9), sound_run(2, 40)]);
-    told.crash(70, 3, &[bad_run(9), sound_run(2, 15)]);
-    let contained = told.entry.scheduler.learned().suspects;
+fn crashes_of_tasks_of_another_kind_are_not_attributed_to_a_task() {
+    let (healthy, bad) = kinds();
+    let healthy_run = |job, ran_ms| of_kind(crashed_run(job, 0, ran_ms), healthy);
+    let bad_run = |job| of_kind(crashed_run(job, 0, 10), bad);
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[bad_run(7), healthy_run(1, 18)]);
+    fixture.crash(21, 1, &[bad_run(8), healthy_run(1, 9)]);
+    assert_eq!(fixture.entry.scheduler.counters().kinds_contained, 0);
+    assert!(!fixture.is_failed(22, 1));
+    fixture.crash(50, 2, &[bad_run(9), healthy_run(2, 40)]);
+    fixture.crash(70, 3, &[bad_run(9), healthy_run(2, 15)]);
+    let contained = fixture.entry.scheduler.learned().suspects;
     let contained: Vec<TaskKind> = contained.iter().map(|suspect| suspect.kind).collect();
     assert_eq!(contained, [bad]);
-    assert!(told.is_failed(80, 9));
-    assert!(!told.is_failed(81, 1));
+    assert!(fixture.is_failed(80, 9));
+    assert!(!fixture.is_failed(81, 1));
 }
 
-/// Bystanders of another kind do not hide a task that crashes targets where its own kind explains more crashes.
+/// Unrelated tasks of another kind do not hide a task that crashes targets if the kind of that task explains more
+/// crashes.
 #[test]
-fn a_kind_that_explains_fewer_crashes_is_no_rival() {
-    let (sound, bad) = kinds();
-    let sound_run = |job, ran_ms| of_kind(ran(job, 0, ran_ms), sound);
-    let bad_run = |job| of_kind(ran(job, 0, 10), bad);
-    let mut told = Told::new();
-    told.crash(10, 0, &[bad_run(6), sound_run(1, 60)]);
-    told.crash(30, 1, &[bad_run(7), sound_run(2, 8)]);
-    told.crash(50, 2, &[bad_run(7), sound_run(3, 12)]);
-    assert_eq!(told.entry.scheduler.counters().kinds_contained, 1);
-    assert!(told.is_failed(60, 7));
+fn a_kind_that_explains_fewer_crashes_does_not_hide_the_crashing_kind() {
+    let (healthy, bad) = kinds();
+    let healthy_run = |job, ran_ms| of_kind(crashed_run(job, 0, ran_ms), healthy);
+    let bad_run = |job| of_kind(crashed_run(job, 0, 10), bad);
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[bad_run(6), healthy_run(1, 60)]);
+    fixture.crash(30, 1, &[bad_run(7), healthy_run(2, 8)]);
+    fixture.crash(50, 2, &[bad_run(7), healthy_run(3, 12)]);
+    assert_eq!(fixture.entry.scheduler.counters().kinds_contained, 1);
+    assert!(fixture.is_failed(60, 7));
 }
 
-/// Nor do they where their times differ more than those of the task.
+/// Unrelated tasks of another kind do not hide a task that crashes targets if their times to the crash vary more than
+/// those of the task.
 #[test]
-fn a_kind_whose_times_differ_more_is_no_rival() {
-    let (sound, bad) = kinds();
-    let sound_run = |job, ran_ms| of_kind(ran(job, 0, ran_ms), sound);
-    let bad_run = |job| of_kind(ran(job, 0, 10), bad);
-    let mut told = Told::new();
-    told.crash(10, 0, &[bad_run(7), sound_run(1, 7)]);
-    told.crash(30, 1, &[bad_run(7), sound_run(2, 16)]);
-    assert_eq!(told.entry.scheduler.counters().kinds_contained, 1);
-    assert!(told.is_failed(40, 7));
+fn a_kind_whose_times_vary_more_does_not_hide_the_crashing_kind() {
+    let (healthy, bad) = kinds();
+    let healthy_run = |job, ran_ms| of_kind(crashed_run(job, 0, ran_ms), healthy);
+    let bad_run = |job| of_kind(crashed_run(job, 0, 10), bad);
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[bad_run(7), healthy_run(1, 7)]);
+    fixture.crash(30, 1, &[bad_run(7), healthy_run(2, 16)]);
+    assert_eq!(fixture.entry.scheduler.counters().kinds_contained, 1);
+    assert!(fixture.is_failed(40, 7));
 }
 
-/// What a kind has crashed is its own: the other kinds lose no further target to it.
+/// The sides of the targets that a kind has crashed are reserved for it first, so that the other kinds lose no
+/// further target.
 #[test]
-fn the_targets_that_a_kind_has_crashed_are_the_first_of_its_part() {
+fn the_targets_that_a_kind_has_crashed_are_reserved_for_it_first() {
     let (_, bad) = kinds();
     for (first, second) in
         (0..SIDES).flat_map(|first| (0..first).map(move |second| (first, second)))
     {
-        let mut told = Told::new();
-        told.crash(10, first, &[of_kind(ran(7, 0, 12), bad)]);
-        told.crash(30, second, &[of_kind(ran(7, 0, 11), bad)]);
-        let effects = told.entry.submit(40, 1, job(8, 32, 60), 2_000);
+        let mut fixture = Fixture::new();
+        fixture.crash(10, first, &[of_kind(crashed_run(7, 0, 12), bad)]);
+        fixture.crash(30, second, &[of_kind(crashed_run(7, 0, 11), bad)]);
+        let effects = fixture.entry.submit(40, 1, job(8, 32, 60), 2_000);
         let used: Vec<u64> = starts(&effects).iter().map(|(side, _)| *side).collect();
         assert!(!used.is_empty());
-        let is_own = |side: &u64| *side == first || *side == second;
-        assert!(!used.iter().any(is_own), "{first} and {second}: {used:?}");
-        let effects = told.entry.submit(41, 2, imaged(9, 32), 2_000);
+        let is_reserved = |side: &u64| *side == first || *side == second;
+        assert!(
+            !used.iter().any(is_reserved),
+            "{first} and {second}: {used:?}"
+        );
+        let effects = fixture.entry.submit(41, 2, job_with_image(9, 32), 2_000);
         let used: Vec<u64> = starts(&effects).iter().map(|(side, _)| *side).collect();
-        assert!(used.iter().any(is_own), "{first} and {second}: {used:?}");
+        assert!(
+            used.iter().any(is_reserved),
+            "{first} and {second}: {used:?}"
+        );
     }
 }
 
-/// Runs that had begun before a kind was contained crashed targets that stayed with the others, who lost as many sound ones to the kind.
+/// Runs that had started before a kind was contained crashed targets that were not reserved for it; the other kinds
+/// then lost as many healthy targets to the contained kind again.
 #[test]
-fn what_a_contained_kind_crashes_then_is_of_its_part_too() {
+fn targets_that_a_contained_kind_crashes_later_are_reserved_for_it_too() {
     let (_, bad) = kinds();
-    let bad_run = |job, ran_ms| of_kind(ran(job, 0, ran_ms), bad);
+    let bad_run = |job, ran_ms| of_kind(crashed_run(job, 0, ran_ms), bad);
     for third in 2..SIDES {
-        let mut told = Told::new();
-        told.crash(10, 0, &[bad_run(7, 12)]);
-        told.crash(30, 1, &[bad_run(7, 11)]);
-        told.crash(35, third, &[bad_run(9, 12)]);
-        let effects = told.entry.submit(40, 1, job(8, 32, 60), 2_000);
+        let mut fixture = Fixture::new();
+        fixture.crash(10, 0, &[bad_run(7, 12)]);
+        fixture.crash(30, 1, &[bad_run(7, 11)]);
+        fixture.crash(35, third, &[bad_run(9, 12)]);
+        let effects = fixture.entry.submit(40, 1, job(8, 32, 60), 2_000);
         let used: Vec<u64> = starts(&effects).iter().map(|(side, _)| *side).collect();
         assert!(!used.is_empty());
         assert!(!used.contains(&third), "{third}: {used:?}");
     }
 }
 
-/// What callers saw: after a restart of all processes jobs of sound kinds were refused. A contained kind got other targets than before,
-/// which it went on to crash, while those that it had crashed were still gone.
+/// After a restart of all processes, jobs of healthy kinds used to be refused: a contained kind got other targets
+/// than before and crashed them, while those that it had crashed earlier were still down.
 #[test]
-fn what_a_kind_had_crashed_outlasts_the_processes() {
+fn the_reserved_sides_of_a_kind_survive_a_restart_of_all_processes() {
     let (_, bad) = kinds();
     for own in 0..SIDES {
-        let mut told = Told::new();
+        let mut fixture = Fixture::new();
         let suspect = LearnedSuspect {
             kind: bad,
             crashed_after_ms: 12,
@@ -262,57 +277,59 @@
             profile: Arc::new(profile),
             wall: WallTime::from_millis(WRITTEN + 1_000),
         };
-        told.entry.scheduler.step(at(10), event);
-        assert_eq!(told.entry.scheduler.learned().suspects, [suspect]);
-        let effects = told.entry.submit(20, 1, job(8, 32, 60), 2_000);
+        fixture.entry.scheduler.step(at(10), event);
+        assert_eq!(fixture.entry.scheduler.learned().suspects, [suspect]);
+        let effects = fixture.entry.submit(20, 1, job(8, 32, 60), 2_000);
         let used = starts(&effects);
         assert!(used.iter().all(|(side, _)| *side != own), "{own}: {used:?}");
-        let effects = told.entry.submit(21, 2, imaged(9, 4), 2_000);
+        let effects = fixture.entry.submit(21, 2, job_with_image(9, 4), 2_000);
         let used = starts(&effects);
         assert!(used.iter().all(|(side, _)| *side == own), "{own}: {used:?}");
         assert!(!used.is_empty());
     }
 }
 
-/// When a kind that was contained at this time has been released.
+/// Time after its containment at which a kind without further crashes has been released, in milliseconds.
 const RELEASED_AFTER_MS: u64 = 10_001;
 
-/// An entry at which a kind was contained and released, and job 6 had crashed a target like the others of the kind.
-fn released() -> (Told, TaskKind, u64) {
+/// Returns an entry that has contained and released a kind; job 6 is a known suspect, because it crashed a target
+/// like the other jobs of the kind.
+fn released() -> (Fixture, TaskKind, u64) {
     let (_, bad) = kinds();
-    let mut told = Told::new();
-    told.crash(10, 0, &[of_kind(ran(7, 0, 12), bad)]);
-    told.crash(30, 1, &[of_kind(ran(7, 0, 11), bad)]);
-    told.crash(50, 2, &[of_kind(ran(6, 0, 12), bad)]);
-    assert_eq!(told.entry.scheduler.counters().kinds_contained, 1);
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[of_kind(crashed_run(7, 0, 12), bad)]);
+    fixture.crash(30, 1, &[of_kind(crashed_run(7, 0, 11), bad)]);
+    fixture.crash(50, 2, &[of_kind(crashed_run(6, 0, 12), bad)]);
+    assert_eq!(fixture.entry.scheduler.counters().kinds_contained, 1);
     let now = 50 + RELEASED_AFTER_MS;
     for side in 0..SIDES {
-        told.entry.join(now, side, 16_000);
+        fixture.entry.join(now, side, 16_000);
     }
-    assert_eq!(told.entry.scheduler.counters().kinds_released, 1);
-    (told, bad, now)
+    assert_eq!(fixture.entry.scheduler.counters().kinds_released, 1);
+    (fixture, bad, now)
 }
 
-/// A job that had crashed a target before the release says nothing of the new jobs of its kind.
+/// A job that crashed a target before the release is no evidence about the new jobs of its kind.
 #[test]
 fn a_known_suspect_does_not_contain_its_kind_again() {
-    let (mut told, bad, now) = released();
-    let beside = of_kind(ran(11, 0, 15), bad);
-    told.crash(now + 10, 3, &[of_kind(ran(6, 0, 12), bad), beside]);
-    assert_eq!(told.entry.scheduler.counters().kinds_contained, 1);
-    assert!(told.is_failed(now + 20, 6));
-
-    let (mut told, bad, now) = released();
-    told.crash(now + 10, 3, &[of_kind(ran(10, 0, 12), bad)]);
-    assert_eq!(told.entry.scheduler.counters().kinds_contained, 2);
+    let (mut fixture, bad, now) = released();
+    let beside = of_kind(crashed_run(11, 0, 15), bad);
+    fixture.crash(now + 10, 3, &[of_kind(crashed_run(6, 0, 12), bad), beside]);
+    assert_eq!(fixture.entry.scheduler.counters().kinds_contained, 1);
+    assert!(fixture.is_failed(now + 20, 6));
+
+    let (mut fixture, bad, now) = released();
+    fixture.crash(now + 10, 3, &[of_kind(crashed_run(10, 0, 12), bad)]);
+    assert_eq!(fixture.entry.scheduler.counters().kinds_contained, 2);
 }
 
-/// An entry that had released a kind and contained it again kept other targets for it than those that it had crashed.
+/// An entry that released a kind and contained it again used to reserve other sides for it than those whose targets
+/// it had crashed.
 #[test]
-fn a_kind_that_is_contained_again_has_what_it_had_crashed_before() {
-    let (mut told, bad, now) = released();
-    told.crash(now + 10, 5, &[of_kind(ran(10, 0, 12), bad)]);
-    let suspects = told.entry.scheduler.learned().suspects;
+fn a_kind_that_is_contained_again_gets_its_reserved_sides_back() {
+    let (mut fixture, bad, now) = released();
+    fixture.crash(now + 10, 5, &[of_kind(crashed_run(10, 0, 12), bad)]);
+    let suspects = fixture.entry.scheduler.learned().suspects;
     let crashed: Vec<&str> = suspects[0]
         .crashed_sides
         .iter()
@@ -321,54 +338,61 @@
     assert_eq!(crashed, ["side-0", "side-1", "side-2", "side-5"]);
 }
 
-/// A kind was released in the middle of it: it had shown no more runs without a crash than it does by chance.
+/// A kind used to be released while it still crashed targets, after a number of runs without a crash that occurs by
+/// chance.
 #[test]
 fn a_kind_of_which_few_crashes_are_known_is_not_released_by_chance() {
     let (_, bad) = kinds();
-    let mut told = Told::new();
+    let mut fixture = Fixture::new();
     for (job, ms) in [(7, 10), (7, 30), (8, 50), (9, 70)] {
-        told.crash(ms, job - 7, &[of_kind(ran(job, 0, 12), bad)]);
+        fixture.crash(ms, job - 7, &[of_kind(crashed_run(job, 0, 12), bad)]);
     }
-    told.do_work(80, 11);
-    assert_eq!(told.released(), 0, "after 44 runs in a second");
-    told.do_work(1_180, 30);
-    assert_eq!(told.released(), 1, "it is after four seconds");
+    fixture.run_jobs(80, 11);
+    assert_eq!(fixture.released(), 0, "after 44 runs in a second");
+    fixture.run_jobs(1_180, 30);
+    assert_eq!(fixture.released(), 1, "released after four seconds");
 }
 
-/// The more crashes there were, the more often the question was put whether it has ceased to crash targets.
+/// Each crash restarts the check for a release, so a kind with many crashes gets more chances of a release by chance.
+/// It therefore needs more successful runs.
 #[test]
-fn a_kind_that_has_crashed_many_targets_is_released_after_many_sound_runs() {
+fn a_kind_that_has_crashed_many_targets_is_released_after_many_healthy_runs() {
     let (_, bad) = kinds();
-    let mut told = Told::new();
-    told.crash(10, 0, &[of_kind(ran(7, 0, 12), bad)]);
-    told.crash(30, 1, &[of_kind(ran(7, 0, 12), bad)]);
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[of_kind(crashed_run(7, 0, 12), bad)]);
+    fixture.crash(30, 1, &[of_kind(crashed_run(7, 0, 12), bad)]);
     let mut now = 60;
     for job in 8..16 {
-        told.do_work(now, 1);
+        fixture.run_jobs(now, 1);
         now += 40;
-        told.crash(now, job % 2, &[of_kind(ran(job, 0, 12), bad)]);
+        fixture.crash(now, job % 2, &[of_kind(crashed_run(job, 0, 12), bad)]);
         now += 40;
     }
-    told.do_work(now, 11);
-    assert_eq!(told.released(), 0, "after 44 runs of some 8 a crash");
-    told.do_work(now + 1_100, 9);
-    assert_eq!(told.released(), 1, "after 80");
+    fixture.run_jobs(now, 11);
+    assert_eq!(
+        fixture.released(),
+        0,
+        "after 44 runs, at about 8 runs per crash"
+    );
+    fixture.run_jobs(now + 1_100, 9);
+    assert_eq!(fixture.released(), 1, "after 80");
 }
 
-/// A kind that was sound again stayed contained at three entries: a known suspect crashed a target at the fourth, which had released it.
+/// A kind that was healthy again used to stay contained at three entries, because a known suspect crashed a target at
+/// a fourth one, which had released the kind.
 #[test]
 fn a_known_suspect_does_not_keep_its_kind_contained() {
     let (_, bad) = kinds();
-    let mut told = Told::new();
-    told.crash(10, 0, &[of_kind(ran(7, 0, 12), bad)]);
-    told.crash(30, 1, &[of_kind(ran(7, 0, 11), bad)]);
-    told.crash(50, 2, &[of_kind(ran(6, 0, 12), bad)]);
-    told.entry.join(4_990, 3, 16_000);
-    told.crash(5_000, 3, &[of_kind(ran(6, 0, 12), bad)]);
-    let suspects = told.entry.scheduler.learned().suspects;
+    let mut fixture = Fixture::new();
+    fixture.crash(10, 0, &[of_kind(crashed_run(7, 0, 12), bad)]);
+    fixture.crash(30, 1, &[of_kind(crashed_run(7, 0, 11), bad)]);
+    fixture.crash(50, 2, &[of_kind(crashed_run(6, 0, 12), bad)]);
+    fixture.entry.join(4_990, 3, 16_000);
+    fixture.crash(5_000, 3, &[of_kind(crashed_run(6, 0, 12), bad)]);
+    let suspects = fixture.entry.scheduler.learned().suspects;
     let crashed = suspects[0].crashed_sides.iter().map(NodeName::as_str);
     let crashed: Vec<&str> = crashed.collect();
     assert_eq!(crashed, ["side-0", "side-1", "side-2", "side-3"]);
-    told.entry.join(50 + RELEASED_AFTER_MS, 0, 16_000);
-    assert_eq!(told.entry.scheduler.counters().kinds_released, 1);
+    fixture.entry.join(50 + RELEASED_AFTER_MS, 0, 16_000);
+    assert_eq!(fixture.entry.scheduler.counters().kinds_released, 1);
 }
--- a/crates/mastknot_core/tests/crash_suspects.rs
+++ b/crates/mastknot_core/tests/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! What an entry makes of crashes of targets, and how sides keep suspects apart.
+//! How an entry attributes crashes of targets to tasks, and how sides keep suspects apart.
 
 mod common;
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// A side tells that its target has crashed under the first run of a job's first task.
-fn tell(entry: &mut Entry, ms: u64, target: &str, job: u64, ran_ms: u32) {
+/// Reports that a side's target crashed during the first run of a job's first task.
+fn report_crash(entry: &mut Entry, ms: u64, target: &str, job: u64, ran_ms: u32) {
     let crash = crash(target, &[(run_of(job, 0, 1), ran_ms)]);
     entry.reports(ms, 0, vec![SideReport::TargetCrashed(crash)]);
 }
@@ -52,30 +52,30 @@
 #[test]
 fn a_job_of_a_task_that_crashed_two_targets_elsewhere_is_answered_before_it_starts() {
     let mut entry = Entry::with_sides(&[16_000]);
-    tell(&mut entry, 10, "target-a", 7, 12);
-    tell(&mut entry, 20, "target-b", 7, 11);
+    report_crash(&mut entry, 10, "target-a", 7, 12);
+    report_crash(&mut entry, 20, "target-b", 7, 11);
     let effects = entry.submit(30, 1, job(7, 2, 60), 2_000);
     assert_eq!(starts(&effects), []);
     assert_eq!(answers(&effects), [(1, FAILED)]);
     assert_eq!(entry.scheduler.held_jobs(), 0);
     let effects = entry.submit(31, 2, job(8, 2, 60), 2_000);
-    assert_eq!(starts(&effects).len(), 2, "others are started");
+    assert_eq!(starts(&effects).len(), 2, "other jobs start");
 }
 
 #[test]
-fn a_crash_that_is_told_again_counts_once() {
+fn a_crash_that_is_reported_again_counts_once() {
     let mut entry = Entry::with_sides(&[16_000]);
-    tell(&mut entry, 10, "target-a", 7, 12);
-    tell(&mut entry, 20, "target-a", 7, 12);
+    report_crash(&mut entry, 10, "target-a", 7, 12);
+    report_crash(&mut entry, 20, "target-a", 7, 12);
     let effects = entry.submit(30, 1, job(7, 2, 60), 2_000);
     assert_eq!(starts(&effects).len(), 2);
 }
 
 #[test]
-fn crashes_of_long_runs_at_different_times_tell_nothing_until_there_are_five() {
+fn crashes_of_long_runs_at_different_times_confirm_nothing_until_there_are_five() {
     let mut entry = Entry::with_sides(&[16_000]);
-    for (place, ran_ms) in [300, 420, 510, 640].into_iter().enumerate() {
-        tell(&mut entry, 10, &format!("target-{place}-x"), 7, ran_ms);
+    for (number, ran_ms) in [300, 420, 510, 640].into_iter().enumerate() {
+        report_crash(&mut entry, 10, &format!("target-{number}-x"), 7, ran_ms);
     }
     let effects = entry.submit(30, 1, job(7, 1, 900), 2_000);
     assert_eq!(starts(&effects).len(), 1);
@@ -87,11 +87,11 @@
 }
 
 #[test]
-fn what_runs_of_a_job_that_is_given_up_is_stopped() {
+fn runs_of_a_job_that_is_given_up_are_stopped() {
     let mut entry = Entry::with_sides(&[16_000]);
     let effects = entry.submit(5, 1, job(7, 2, 60), 2_000);
     let second = starts(&effects)[1].1;
-    tell(&mut entry, 10, "target-a", 7, 12);
+    report_crash(&mut entry, 10, "target-a", 7, 12);
     let again = crash("target-b", &[(run_of(7, 0, 2), 12)]);
     let effects = entry.reports(20, 0, vec![SideReport::TargetCrashed(again)]);
     assert_eq!(answers(&effects), [(1, FAILED)]);
@@ -102,21 +102,25 @@
     assert_eq!(stops.count(), 1);
 }
 
-/// What is remembered is bounded in time and in number, whatever keys callers choose.
+/// The crash history is bounded in time and in size, whatever keys callers choose.
 #[test]
 fn crashes_are_forgotten_after_a_minute_and_beyond_256() {
     let mut entry = Entry::with_sides(&[16_000]);
-    tell(&mut entry, 10, "target-a", 7, 12);
-    tell(&mut entry, 20, "target-b", 7, 12);
+    report_crash(&mut entry, 10, "target-a", 7, 12);
+    report_crash(&mut entry, 20, "target-b", 7, 12);
     entry.join(60_031, 0, 16_000);
     let effects = entry.submit(60_040, 1, job(7, 1, 60), 2_000);
-    assert_eq!(starts(&effects).len(), 1, "a minute later it may be tried");
+    assert_eq!(
+        starts(&effects).len(),
+        1,
+        "the job may start a minute later"
+    );
 
     let mut entry = Entry::with_sides(&[16_000]);
-    tell(&mut entry, 10, "target-a", 7, 12);
-    tell(&mut entry, 10, "target-b", 7, 12);
+    report_crash(&mut entry, 10, "target-a", 7, 12);
+    report_crash(&mut entry, 10, "target-b", 7, 12);
     for other in 0..255 {
-        tell(
+        report_crash(
             &mut entry,
             20,
             &format!("target-{other}-y"),
@@ -125,22 +129,26 @@
         );
     }
     let effects = entry.submit(30, 1, job(7, 1, 60), 2_000);
-    assert_eq!(starts(&effects).len(), 1, "the oldest is forgotten");
+    assert_eq!(starts(&effects).len(), 1, "the oldest crash is forgotten");
 }
 
 #[test]
-fn suspects_of_one_job_are_tried_one_after_the_other() {
+fn suspects_of_one_job_run_one_after_the_other() {
     let mut entry = Entry::with_sides(&[16_000, 16_000]);
     let both = [(run_of(7, 0, 1), 12), (run_of(7, 1, 2), 12)];
-    let told = crash("target-a", &both);
-    entry.reports(10, 0, vec![SideReport::TargetCrashed(told)]);
+    let reported = crash("target-a", &both);
+    entry.reports(10, 0, vec![SideReport::TargetCrashed(reported)]);
     let effects = entry.submit(20, 1, job(7, 2, 60), 2_000);
     assert_eq!(starts(&effects).len(), 1);
     let first = starts(&effects)[0];
     let effects = entry.status(30, first.0, 14_400, 1, None, Vec::new());
     assert_eq!(starts(&effects), [], "the first may still crash its target");
     let effects = entry.status(60, first.0, 14_400, 1, None, Vec::new());
-    assert_eq!(starts(&effects).len(), 1, "it has shown that it does not");
+    assert_eq!(
+        starts(&effects).len(),
+        1,
+        "the first has outlived the time at which suspects crash"
+    );
 }
 
 fn suspect(job: u64, crashed_after_ms: u32) -> EntryOrder {
@@ -159,7 +167,7 @@
 }
 
 #[test]
-fn a_side_keeps_suspects_that_are_like_each_other_apart() {
+fn a_side_keeps_similar_suspects_apart() {
     let mut side = Side::ready();
     side.join(1_000, OTHER, "entry-2", 1);
     assert_eq!(
@@ -170,37 +178,49 @@
     let apart = EndOfRun::NotRun(NotRunCause::OtherSuspect);
     assert_eq!(side::ends(&effects), [apart]);
     let effects = side.order(1_004, OTHER, suspect(3, 80));
-    assert_eq!(side::ordered(&effects).len(), 1, "its crash would tell");
+    assert_eq!(
+        side::ordered(&effects).len(),
+        1,
+        "its time to crash would distinguish it"
+    );
     let effects = side.order(1_005, OTHER, side::start(4, 1_000));
-    assert_eq!(side::ordered(&effects).len(), 1, "it is no suspect");
+    assert_eq!(
+        side::ordered(&effects).len(),
+        1,
+        "the task is not a suspect"
+    );
     let effects = side.order(1_050, OTHER, suspect(5, 15));
     assert_eq!(side::ordered(&effects).len(), 1, "the first is cleared");
 }
 
-fn told(effects: &[AgentEffect]) -> Vec<(mastknot_core::agent::SessionId, u32)> {
-    let told = effects.iter().filter_map(|effect| match effect {
+fn reported_crashes(effects: &[AgentEffect]) -> Vec<(mastknot_core::agent::SessionId, u32)> {
+    let reported_crashes = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Send {
             session,
             report: SideReport::TargetCrashed(crash),
         } => Some((*session, crash.ago_ms)),
         _ => None,
     });
-    told.collect()
+    reported_crashes.collect()
 }
 
 #[test]
-fn all_entries_are_told_of_a_crash_and_those_that_link_later_too() {
+fn all_entries_receive_a_crash_report_even_those_that_link_later() {
     let mut side = Side::ready();
     side.join(1_000, OTHER, "entry-2", 1);
     let effects = side.order(1_001, ENTRY, side::start(1, 1_000));
     let number = side::probe_number(&effects).expect("a probe is under way");
     let result = Err(ProbeFailure::Refused);
     let effects = side.step(1_011, AgentEvent::Probed { number, result });
-    assert_eq!(told(&effects), [(ENTRY, 0), (OTHER, 0)]);
+    assert_eq!(reported_crashes(&effects), [(ENTRY, 0), (OTHER, 0)]);
     let third = mastknot_core::agent::SessionId(3);
     let effects = side.join(2_011, third, "entry-3", 1);
-    assert_eq!(told(&effects), [(third, 1_000)]);
+    assert_eq!(reported_crashes(&effects), [(third, 1_000)]);
     let fourth = mastknot_core::agent::SessionId(4);
     let effects = side.join(61_012, fourth, "entry-4", 1);
-    assert_eq!(told(&effects), [], "a minute later it is of no use");
+    assert_eq!(
+        reported_crashes(&effects),
+        [],
+        "a crash is not reported after a minute"
+    );
 }
--- a/crates/mastknot_core/tests/drained_halls.rs
+++ b/crates/mastknot_core/tests/drained_halls.rs
@@ -1,4 +1,4 @@
-//! Halls that operators drain: what sides and entries do with the news, in whatever order it comes.
+//! Halls that operators drain: how sides and entries handle the updates, in whatever order these arrive.
 
 mod common;
 
@@ -13,7 +13,7 @@
 };
 use mastknot_core::scheduler::{SchedulerEffect, SchedulerEvent, SessionId};
 
-/// The hall of the side under test, and others.
+/// Hall of the side under test; [`FAR`] is another hall.
 const OWN: &str = "hall";
 const FAR: &str = "hall-2";
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// A heartbeat that tells which halls are drained.
-fn telling(revision: u64, halls: &[&str]) -> EntryOrder {
+/// Returns a heartbeat that carries the drained halls.
+fn heartbeat_with(revision: u64, halls: &[&str]) -> EntryOrder {
     EntryOrder::Heartbeat {
         last_received: 0,
         need: None,
@@ -43,27 +43,27 @@
         .count()
 }
 
-/// What a side has told on a link of drained halls.
-fn told(effects: &[AgentEffect], link: mastknot_core::agent::SessionId) -> Vec<DrainedHalls> {
-    let told = effects.iter().filter_map(|effect| match effect {
+/// Returns the drained halls that a side reported on a link.
+fn reported(effects: &[AgentEffect], link: mastknot_core::agent::SessionId) -> Vec<DrainedHalls> {
+    let reported = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Send {
             session,
             report: SideReport::Status(status),
         } if *session == link => status.drained.clone(),
         _ => None,
     });
-    told.map(|drained| (*drained).clone()).collect()
+    reported.map(|drained| (*drained).clone()).collect()
 }
 
 #[test]
 fn a_side_turns_starts_away_from_the_moment_it_knows() {
     let mut side = Side::ready();
     assert_eq!(orders(&side.order(1_010, ENTRY, side::start(1, 1_000))), 1);
-    side.order(1_020, ENTRY, telling(5, &[OWN]));
+    side.order(1_020, ENTRY, heartbeat_with(5, &[OWN]));
     let effects = side.order(1_020, ENTRY, side::start(2, 1_000));
     assert_eq!(orders(&effects), 0);
     assert_eq!(side.agent.condition(), TargetCondition::Draining);
-    assert_eq!(side.agent.runs().len(), 1, "what runs goes on");
+    assert_eq!(side.agent.runs().len(), 1, "runs under way continue");
     let ended = effects.iter().find_map(|effect| match effect {
         AgentEffect::Send {
             report: SideReport::Status(status),
@@ -71,45 +71,49 @@
         } => status.ended.first().copied(),
         _ => None,
     });
-    let ended = ended.expect("the entry hears of it at once");
+    let ended = ended.expect("the entry is notified at once");
     assert_eq!(ended.end, EndOfRun::NotRun(NotRunCause::Draining));
 }
 
 #[test]
-fn a_start_behind_the_news_in_one_delivery_is_turned_away() {
+fn a_start_behind_the_update_in_one_delivery_is_turned_away() {
     let mut side = Side::ready();
     let effects = side.step(
         1_010,
         AgentEvent::FromEntry {
             session: ENTRY,
-            orders: vec![telling(5, &[OWN]), side::start(1, 1_000)],
+            orders: vec![heartbeat_with(5, &[OWN]), side::start(1, 1_000)],
         },
     );
     assert_eq!(orders(&effects), 0);
 }
 
 #[test]
-fn a_returned_hall_takes_work_again_and_an_older_word_changes_nothing() {
+fn a_returned_hall_takes_work_again_and_an_older_update_changes_nothing() {
     let mut side = Side::ready();
-    side.order(1_010, ENTRY, telling(5, &[OWN]));
-    side.order(1_020, ENTRY, telling(9, &[]));
+    side.order(1_010, ENTRY, heartbeat_with(5, &[OWN]));
+    side.order(1_020, ENTRY, heartbeat_with(9, &[]));
     assert_eq!(orders(&side.order(1_030, ENTRY, side::start(1, 500))), 1);
-    side.order(1_040, ENTRY, telling(7, &[OWN, FAR]));
+    side.order(1_040, ENTRY, heartbeat_with(7, &[OWN, FAR]));
     assert_eq!(orders(&side.order(1_050, ENTRY, side::start(2, 500))), 1);
-    side.order(1_060, ENTRY, telling(12, &[OWN]));
-    side.order(1_070, ENTRY, telling(11, &[]));
+    side.order(1_060, ENTRY, heartbeat_with(12, &[OWN]));
+    side.order(1_070, ENTRY, heartbeat_with(11, &[]));
     assert_eq!(orders(&side.order(1_080, ENTRY, side::start(3, 500))), 0);
 }
 
 #[test]
-fn another_hall_is_no_concern_of_a_side() {
+fn a_side_ignores_the_drain_of_another_hall() {
     let mut side = Side::ready();
-    side.order(1_010, ENTRY, telling(5, &[FAR, "hall-that-nobody-knows"]));
+    side.order(
+        1_010,
+        ENTRY,
+        heartbeat_with(5, &[FAR, "hall-that-nobody-knows"]),
+    );
     assert_eq!(orders(&side.order(1_020, ENTRY, side::start(1, 1_000))), 1);
 }
 
 #[test]
-fn room_kept_for_an_entry_is_not_to_be_had_any_more() {
+fn capacity_reserved_for_an_entry_is_not_usable_in_a_drained_hall() {
     let mut side = Side::ready();
     let need = EntryOrder::Heartbeat {
         last_received: 0,
@@ -123,43 +127,49 @@
     };
     side.order(1_010, ENTRY, need);
     side.join(1_012, OTHER, "entry-2", 1);
-    side.order(1_014, OTHER, telling(5, &[OWN]));
+    side.order(1_014, OTHER, heartbeat_with(5, &[OWN]));
     assert_eq!(orders(&side.order(1_016, ENTRY, side::start(1, 1_000))), 0);
 }
 
-/// An order without an answer is looked for, not sent again: nothing of it starts after the news.
+/// The side probes for an order without an answer and does not send it again, so nothing of it starts after the hall
+/// is drained.
 #[test]
 fn an_order_without_an_answer_is_not_repeated() {
     let mut side = Side::ready();
     side.order(1_010, ENTRY, side::start(1, 1_000));
-    side.order(1_020, ENTRY, telling(5, &[OWN]));
+    side.order(1_020, ENTRY, heartbeat_with(5, &[OWN]));
     let unanswered = AgentEvent::OrderAnswered {
         run: side::run(1),
         outcome: mastknot_core::agent::OrderOutcome::NoAnswer,
     };
     let mut effects = side.step(1_060, unanswered);
     for ms in (1_061..1_400).step_by(20) {
-        effects.extend(side.order(ms, ENTRY, telling(5, &[OWN])));
+        effects.extend(side.order(ms, ENTRY, heartbeat_with(5, &[OWN])));
     }
     assert_eq!(orders(&effects), 0);
 }
 
-/// An entry that is cut off from the store learns it from the sides of others, on standby too.
+/// An entry that is disconnected from the store learns of drained halls from sides that other entries have informed,
+/// even over links on standby.
 #[test]
-fn entries_that_have_not_told_of_it_hear_it_from_the_side() {
+fn a_side_passes_the_update_on_to_entries_that_have_not_sent_it() {
     let mut side = Side::ready();
     side.join(1_000, OTHER, "entry-2", 1);
     side.order(1_005, OTHER, EntryOrder::Standby);
-    let mut effects = side.order(1_010, ENTRY, telling(5, &[FAR]));
+    let mut effects = side.order(1_010, ENTRY, heartbeat_with(5, &[FAR]));
     effects.extend(side.step(1_060, AgentEvent::Tick));
-    assert_eq!(told(&effects, OTHER), [drained(5, &[FAR])]);
-    assert_eq!(told(&effects, ENTRY), [], "it has told of it itself");
+    assert_eq!(reported(&effects, OTHER), [drained(5, &[FAR])]);
+    assert_eq!(
+        reported(&effects, ENTRY),
+        [],
+        "this entry sent the update itself"
+    );
 }
 
 #[test]
-fn a_new_link_tells_of_drained_halls_with_its_first_word() {
+fn the_hello_on_a_new_link_carries_the_drained_halls() {
     let mut side = Side::ready();
-    side.order(1_010, ENTRY, telling(5, &[FAR]));
+    side.order(1_010, ENTRY, heartbeat_with(5, &[FAR]));
     let effects = side.step(1_020, AgentEvent::LinkUp { session: OTHER });
     let hello = effects.iter().find_map(|effect| match effect {
         AgentEffect::Send {
@@ -176,7 +186,7 @@
     entry.scheduler.step(entry::at(ms), event)
 }
 
-/// Two sides, one in each hall.
+/// Returns an entry with two sides, one in each hall.
 fn entry_with_halls(free: u32) -> Entry {
     let mut entry = Entry::with_sides(&[]);
     entry.join_in(OWN, DrainedHalls::default(), 0, 0, free);
@@ -202,27 +212,29 @@
 }
 
 #[test]
-fn every_linked_side_is_told_at_once() {
+fn every_linked_side_is_notified_at_once() {
     let mut entry = entry_with_halls(16_000);
     let effects = from_store(&mut entry, 5, drained(3, &[OWN]));
-    let told = effects.iter().filter_map(|effect| match effect {
+    let reported = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send {
             session,
-            order: EntryOrder::Heartbeat {
-                update: Some(news), ..
-            },
-        } => Some((*session, news.drained.revision)),
+            order:
+                EntryOrder::Heartbeat {
+                    update: Some(update),
+                    ..
+                },
+        } => Some((*session, update.drained.revision)),
         _ => None,
     });
-    let told: Vec<(SessionId, u64)> = told.collect();
-    assert_eq!(told, [(SessionId(0), 3), (SessionId(1), 3)]);
+    let reported: Vec<(SessionId, u64)> = reported.collect();
+    assert_eq!(reported, [(SessionId(0), 3), (SessionId(1), 3)]);
 }
 
 #[test]
-fn an_entry_that_hears_it_from_a_side_goes_by_it_and_tells_the_others() {
-    for is_greeting in [true, false] {
+fn an_entry_applies_drained_halls_that_a_side_reports() {
+    for is_in_hello in [true, false] {
         let mut entry = entry_with_halls(16_000);
-        match is_greeting {
+        match is_in_hello {
             true => entry.join_in(FAR, drained(8, &[OWN]), 5, 2, 16_000),
             false => {
                 let status = SideStatus {
@@ -247,7 +259,7 @@
 }
 
 #[test]
-fn what_waits_goes_to_the_halls_that_are_left() {
+fn waiting_tasks_go_to_the_remaining_halls() {
     let mut entry = entry_with_halls(0);
     entry.submit(1, 1, entry::job(1, 2, 100), 2_000);
     from_store(&mut entry, 5, drained(3, &[OWN]));
@@ -276,9 +288,9 @@
     assert_eq!(entry::answers(&effects), [], "one hall is back");
 }
 
-/// A job that has begun is not refused: what runs of it goes on.
+/// A job that has started is not refused: its runs continue.
 #[test]
-fn what_has_begun_in_a_drained_hall_is_finished() {
+fn a_job_that_has_started_in_a_drained_hall_is_finished() {
     let mut entry = entry_with_halls(16_000);
     from_store(&mut entry, 5, drained(3, &[FAR]));
     let effects = entry.submit(10, 1, entry::job(1, 1, 100), 2_000);
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -1,4 +1,5 @@
-//! When a job would find room, whether it is refused for it, and when its caller is told to come back.
+//! Forecast of the wait for capacity: when a job would start, whether it is refused because of it, and when its
+//! caller should retry.
 
 mod common;
 
@@ -16,7 +17,7 @@
 };
 use mastknot_core::types::WallTime;
 
-/// The rank of a job in time of which nothing has begun, in the queue of the highest priority.
+/// Rank of a job of the highest-priority queue that can meet its objective and has not started.
 const NEW: u8 = 16;
 const TASK: Capacity = Capacity {
     cpu_millis: 1_600,
@@ -35,13 +36,13 @@
     }
 }
 
-/// A side whose target has 16 cores, with what waits there.
-fn side(free: u32, pace: f64, waiting: Vec<RankedWork>) -> KnownLoad {
+/// Returns the load of a side whose target has 16 cores, with this work waiting there.
+fn side(free: u32, slowdown: f64, waiting: Vec<RankedWork>) -> KnownLoad {
     KnownLoad {
         side: "side-1".into(),
         hall: "hall".into(),
         capacity: common::entry::target_capacity(16_000),
-        slowdown: pace,
+        slowdown,
         free: common::entry::target_capacity(free),
         load: SideLoad {
             waiting,
@@ -56,11 +57,11 @@
     LoadView { sides, own }
 }
 
-/// A job of eight tasks with this room before it, where tasks run for 100 ms.
-fn ahead(room: u64) -> ForecastInput {
+/// Returns the input for a job of eight tasks of 100 ms each, behind this much waiting capacity.
+fn ahead(capacity_ahead: u64) -> ForecastInput {
     ForecastInput {
         rank: NEW,
-        ahead: room,
+        ahead: capacity_ahead,
         required_capacity: 8 * u64::from(TASK.cpu_millis),
         held_for: ms(100),
         smallest: TASK,
@@ -74,7 +75,7 @@
     wait.map(|wait| wait.as_millis() as u64)
 }
 
-/// An entry whose admission goes by the forecast alone, beside the offers of room.
+/// Returns an entry that admits jobs by the forecast alone, without capacity grants.
 fn forecasting(free: &[u32]) -> Entry {
     let scarcity = ScarcitySettings {
         grants: false,
@@ -85,18 +86,18 @@
 }
 
 #[test]
-fn there_is_no_wait_for_room_that_is_free() {
+fn there_is_no_wait_for_free_capacity() {
     let idle = view(vec![side(1_600, 1.0, Vec::new())], Vec::new());
     assert_eq!(wait(&idle, &ahead(0)), Some(0));
-    // What is before it takes the room.
+    // Work ahead of the job takes the free capacity.
     assert!(wait(&idle, &ahead(3_200)) > Some(0));
 }
 
 #[test]
-fn the_wait_is_the_room_ahead_over_the_rate_at_which_it_comes_free() {
+fn the_wait_is_the_capacity_ahead_over_the_rate_at_which_it_comes_free() {
     let own = vec![work(NEW, 100_000)];
     let alone = view(vec![side(0, 1.0, Vec::new())], own.clone());
-    // 16 cores come free in 100 ms, and 12.8 are asked.
+    // 16 cores become free within 100 ms, and 12.8 are required.
     assert_eq!(wait(&alone, &ahead(0)), Some(80));
     assert_eq!(wait(&alone, &ahead(16_000)), Some(180));
     let two = view(
@@ -107,30 +108,30 @@
 }
 
 #[test]
-fn room_goes_to_entries_by_what_waits_at_them() {
+fn entries_get_capacity_in_proportion_to_their_waiting_work() {
     let own = vec![work(NEW, 100_000)];
     let shared = side(0, 1.0, vec![work(NEW, 400_000)]);
     assert_eq!(wait(&view(vec![shared], own.clone()), &ahead(0)), Some(320));
-    // What is less urgent takes nothing of it.
+    // Less urgent work takes no part of the capacity.
     let others = side(0, 1.0, vec![work(NEW, 100_000), work(NEW + 1, 900_000)]);
     assert_eq!(wait(&view(vec![others], own.clone()), &ahead(0)), Some(80));
-    // A report that is older than what waits here counts as if it knew of it.
+    // A report that predates the entry's own waiting work counts as if it included that work.
     let late = side(0, 1.0, vec![work(NEW, 10_000)]);
     assert_eq!(wait(&view(vec![late], own), &ahead(0)), Some(80));
 }
 
 #[test]
-fn slow_targets_bring_less_room() {
+fn slow_targets_free_less_capacity() {
     let own = vec![work(NEW, 100_000)];
     let slow = view(vec![side(0, 2.0, Vec::new())], own);
     assert_eq!(wait(&slow, &ahead(0)), Some(160));
 }
 
 #[test]
-fn more_urgent_arrivals_take_their_part() {
+fn more_urgent_arrivals_reduce_the_capacity() {
     let own = vec![work(NEW, 100_000)];
     let alone = view(vec![side(0, 1.0, Vec::new())], own);
-    // Two entries use the side: half of it is this one's where both ask alike.
+    // Two entries use the side: this one gets half of its capacity if both require the same.
     let half = ForecastInput {
         arriving_rate: 4_000.0,
         ..ahead(0)
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn what_was_got_corrects_what_was_said() {
+fn the_obtained_ratio_corrects_the_wait() {
     let own = vec![work(NEW, 100_000)];
     let alone = view(vec![side(0, 1.0, Vec::new())], own);
     let input = ForecastInput {
@@ -160,7 +161,7 @@
     assert!(view(vec![side(0, 1.0, Vec::new())], Vec::new()).is_known());
 }
 
-/// A job with 100 ms of work that has 150 ms left, where the wait is forecast as this.
+/// Returns the input for a job with 100 ms of work and 150 ms left whose wait is forecast as this.
 fn waits_for(wait: Option<u64>) -> AdmissionInput {
     AdmissionInput {
         forecast: Forecast {
@@ -193,20 +194,20 @@
         ..denied
     };
     assert_eq!(Admission::of(&again), Admission::Refuse);
-    let hopeful = AdmissionInput {
+    let in_time = AdmissionInput {
         was_denied_before: true,
         ..waits_for(Some(40))
     };
-    assert_eq!(Admission::of(&hopeful), Admission::Wait);
+    assert_eq!(Admission::of(&in_time), Admission::Wait);
 }
 
 #[test]
-fn none_is_refused_while_a_target_has_room() {
-    for (is_new, was_doubted) in [(true, false), (false, true)] {
+fn no_job_is_refused_while_a_target_has_capacity() {
+    for (is_new, was_denied_before) in [(true, false), (false, true)] {
         let input = AdmissionInput {
             has_room: true,
             is_new,
-            was_denied_before: was_doubted,
+            was_denied_before,
             ..waits_for(None)
         };
         assert_eq!(Admission::of(&input), Admission::Wait);
@@ -221,46 +222,46 @@
         ..waits_for(Some(wait))
     };
     assert_eq!(Admission::of(&new(70, 5)), Admission::Refuse);
-    // A refusal at once allows for twice the error, the next look for the error.
+    // An immediate refusal allows for twice the error, the next review for the error once.
     assert_eq!(Admission::of(&new(70, 15)), Admission::DeniedOnce);
     assert_eq!(Admission::of(&new(70, 25)), Admission::Wait);
-    // However much it errs, half of the wait is believed.
+    // At least half of the forecast wait is used, however large the error is.
     assert_eq!(Admission::of(&new(101, 1_000)), Admission::Refuse);
 }
 
 #[test]
-fn callers_come_back_no_faster_than_room_comes_free() {
-    let mut returns = RetrySchedule::default();
-    let mut tell = |id| returns.schedule(at(0), JobId(id), Some(ms(10)), 800_000, 1_600.0);
-    assert_eq!(tell(1), MIN_RETRY_DELAY);
-    assert_eq!(tell(2), MIN_RETRY_DELAY + ms(500));
-    assert_eq!(tell(3), MIN_RETRY_DELAY + ms(1_000));
-    let last = (4..100).map(tell).last();
+fn callers_retry_no_faster_than_capacity_comes_free() {
+    let mut retries = RetrySchedule::default();
+    let mut schedule = |id| retries.schedule(at(0), JobId(id), Some(ms(10)), 800_000, 1_600.0);
+    assert_eq!(schedule(1), MIN_RETRY_DELAY);
+    assert_eq!(schedule(2), MIN_RETRY_DELAY + ms(500));
+    assert_eq!(schedule(3), MIN_RETRY_DELAY + ms(1_000));
+    let last = (4..100).map(schedule).last();
     assert_eq!(last, Some(MAX_RETRY_DELAY));
 }
 
 #[test]
-fn a_long_wait_is_told() {
-    let mut returns = RetrySchedule::default();
-    let told = returns.schedule(at(0), JobId(1), Some(ms(4_000)), 1_600, 1_600.0);
-    assert_eq!(told, ms(4_000));
+fn a_long_wait_becomes_the_retry_delay() {
+    let mut retries = RetrySchedule::default();
+    let delay = retries.schedule(at(0), JobId(1), Some(ms(4_000)), 1_600, 1_600.0);
+    assert_eq!(delay, ms(4_000));
 }
 
 #[test]
-fn a_caller_keeps_to_its_time_once() {
-    let mut returns = RetrySchedule::default();
+fn a_retry_counts_as_on_time_once() {
+    let mut retries = RetrySchedule::default();
     for id in 1..=4 {
-        returns.schedule(at(0), JobId(id), Some(ms(2_000)), 0, 1.0);
+        retries.schedule(at(0), JobId(id), Some(ms(2_000)), 0, 1.0);
     }
-    assert!(!returns.is_on_time(at(100), JobId(1)));
-    assert!(returns.is_on_time(at(1_500), JobId(2)));
-    assert!(returns.is_on_time(at(2_500), JobId(3)));
-    assert!(!returns.is_on_time(at(2_500), JobId(3)));
-    assert!(!returns.is_on_time(at(3_000), JobId(4)));
-    assert!(!returns.is_on_time(at(2_000), JobId(5)));
+    assert!(!retries.is_on_time(at(100), JobId(1)));
+    assert!(retries.is_on_time(at(1_500), JobId(2)));
+    assert!(retries.is_on_time(at(2_500), JobId(3)));
+    assert!(!retries.is_on_time(at(2_500), JobId(3)));
+    assert!(!retries.is_on_time(at(3_000), JobId(4)));
+    assert!(!retries.is_on_time(at(2_000), JobId(5)));
 }
 
-/// Hands in a job of a queue beside which others have other priorities.
+/// Submits a job of a ranked queue, which competes with other queues by priority.
 fn submit_ranked(entry: &mut Entry, now: u64, id: u64, job: JobRequest) -> Vec<SchedulerEffect> {
     let policy = QueuePolicy {
         name: Arc::from("queue"),
@@ -290,13 +291,14 @@
     })
 }
 
-/// Eight tasks of 60 ms: a full target of 16 cores has room for all of them 48 ms later, and there are 96 ms to spare.
+/// Returns a job of eight tasks of 60 ms: a full target of 16 cores has capacity for all of them 48 ms later, and
+/// there are 96 ms to spare.
 fn wide(id: u64) -> JobRequest {
     job(id, 8, 60)
 }
 
 #[test]
-fn those_who_come_too_late_into_a_crowd_are_refused_in_the_same_step() {
+fn jobs_that_arrive_too_late_in_a_burst_are_refused_in_the_same_step() {
     let mut entry = forecasting(&[0]);
     for id in 1..=2 {
         assert!(answers(&submit_ranked(&mut entry, 1, id, wide(id))).is_empty());
@@ -311,34 +313,35 @@
 }
 
 #[test]
-fn a_job_is_held_while_the_forecast_has_room_for_it() {
+fn a_job_is_held_while_the_forecast_has_capacity_for_it() {
     let mut entry = forecasting(&[0]);
     submit_ranked(&mut entry, 1, 1, wide(1));
-    // A quarter of its objective is over.
+    // A quarter of the job's objective has passed.
     let effects = entry.scheduler.step(at(41), SchedulerEvent::Tick);
     assert!(answers(&effects).is_empty());
     assert_eq!(entry.scheduler.waiting_jobs(), 1);
 }
 
 #[test]
-fn a_job_that_the_forecast_denies_later_is_refused_after_two_looks() {
+fn a_job_that_the_forecast_denies_later_is_refused_after_two_reviews() {
     let mut entry = forecasting(&[0]);
     submit_ranked(&mut entry, 1, 1, wide(1));
-    let look = REVIEW_INTERVAL.as_millis() as u64;
+    let review = REVIEW_INTERVAL.as_millis() as u64;
     let mut refused = None;
     let mut now = 1;
     while refused.is_none() && now < 200 {
-        now += look;
+        now += review;
         let effects = entry.scheduler.step(at(now), SchedulerEvent::Tick);
         refused = retry_after(&effects);
     }
-    // Longer than a quarter of its objective, and no longer than two looks after it can't be in time any more.
-    assert!((40..=97 + 2 * look).contains(&now), "{now}");
+    // The refusal comes after a quarter of the objective, and at most two reviews after the job can no longer meet
+    // it.
+    assert!((40..=97 + 2 * review).contains(&now), "{now}");
     assert_eq!(entry.scheduler.counters().jobs_refused_while_waiting, 1);
 }
 
 #[test]
-fn before_any_side_is_known_the_bounded_patience_decides() {
+fn before_any_side_is_known_the_maximum_wait_decides() {
     let mut entry = forecasting(&[]);
     submit_ranked(&mut entry, 1, 1, wide(1));
     let early = entry.scheduler.step(at(39), SchedulerEvent::Tick);
@@ -348,7 +351,7 @@
 }
 
 #[test]
-fn a_caller_that_keeps_to_its_time_goes_before_newer_ones() {
+fn a_caller_that_retries_on_time_goes_before_newer_ones() {
     let mut entry = forecasting(&[0]);
     for id in 1..=2 {
         submit_ranked(&mut entry, 1, id, wide(id));
