--- a/crates/mastknot_core/tests/crash_evidence.rs
+++ b/crates/mastknot_core/tests/crash_evidence.rs
@@ -237,8 +237,8 @@
     }
 }
 
-/// Runs that had started before a kind was contained crashed targets that were not reserved for it; the other kinds
-/// then lost as many healthy targets to the contained kind again.
+/// Runs that had started before a kind was contained crashed targets that were not reserved for it. The other kinds
+/// kept these targets and lost as many healthy ones to the contained kind.
 #[test]
 fn targets_that_a_contained_kind_crashes_later_are_reserved_for_it_too() {
     let (_, bad) = kinds();
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -75,7 +75,7 @@
     wait.map(|wait| wait.as_millis() as u64)
 }
 
-/// Returns an entry that admits jobs by the forecast alone, without capacity grants.
+/// Returns an entry that admits jobs by the forecast alone, besides capacity offers; capacity grants are off.
 fn forecasting(free: &[u32]) -> Entry {
     let scarcity = ScarcitySettings {
         grants: false,
--- a/crates/mastknot_core/tests/giving_way.rs
+++ b/crates/mastknot_core/tests/giving_way.rs
@@ -1,8 +1,8 @@
-//! Jobs with time left give way to those that find no room and have less of it.
+//! Jobs with time left yield to jobs that find no capacity and have less time.
 //!
-//! What callers saw: when many came at once after a restart, a few long jobs that could have waited took all the room, and many
-//! short ones were refused while they ran. The cause: a job started as soon as a target had room for it, whoever waited
-//! or was about to come with less time.
+//! Guards against this failure: when many jobs arrived at once after a restart, a few long jobs that could have
+//! waited took all the capacity, and many short ones were refused while these ran. The cause was that a job started
+//! as soon as a target had capacity for it, even if jobs with less time were waiting or about to arrive.
 
 mod common;
 
@@ -10,15 +10,15 @@
 use mastknot_core::job::{EndOfRun, EndedRun, EntryOrder, JobId, NotRunCause};
 use mastknot_core::scheduler::{SchedulerEffect, SchedulerEvent};
 
-/// The jobs of which tasks are started, in order.
+/// Returns the job of each started task, in order.
 fn started_jobs(effects: &[SchedulerEffect]) -> Vec<JobId> {
     let starts = starts(effects);
     starts.iter().map(|(_, run)| run.task.job).collect()
 }
 
-/// An entry without room at which a job of 200 ms has waited for 40 of the 180 ms that it can, and a job of 900 ms has
-/// just come that can wait for 600 ms.
-fn pressed() -> Entry {
+/// Returns an entry without capacity at which a job of 200 ms has waited for 40 of the 180 ms that it can wait, and a
+/// job of 900 ms that can wait for 600 ms has just arrived.
+fn contended_entry() -> Entry {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit_to("small", 10, 1, job(1, 1, 200));
     entry.submit_to("large", 50, 2, job(2, 1, 900));
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn room_is_kept_for_small_jobs_while_they_are_pressed() {
-    let mut entry = pressed();
+fn capacity_is_kept_for_small_jobs_while_it_is_contended() {
+    let mut entry = contended_entry();
     let effects = entry.status(55, 0, 3_200, 0, None, Vec::new());
     assert_eq!(started_jobs(&effects), [JobId(1)]);
     let effects = entry.submit_to("small", 60, 3, job(3, 1, 200));
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn a_job_has_its_turn_once_nobody_is_pressed_any_more() {
-    let mut entry = pressed();
+fn a_yielding_job_starts_once_capacity_is_no_longer_contended() {
+    let mut entry = contended_entry();
     entry.status(55, 0, 3_200, 0, None, Vec::new());
-    // The small job last found no room at 50 ms, and such a job can wait for 180 ms.
+    // The small job last found no capacity at 50 ms, and such a job can wait for 180 ms.
     assert_eq!(
         entry.scheduler.next_tick().map(|due| due <= at(230)),
         Some(true)
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_job_that_gives_way_keeps_a_part_of_its_patience_for_its_own_turn() {
-    let mut entry = pressed();
+fn a_job_stops_yielding_in_the_last_part_of_its_maximum_wait() {
+    let mut entry = contended_entry();
     for number in 0..6 {
         entry.submit_to(
             "small",
@@ -64,7 +64,7 @@
         let effects = entry.status(100 + number * 50, 0, 0, 0, None, Vec::new());
         assert_eq!(started_jobs(&effects), []);
     }
-    // Its patience ends 375 ms after it came; the last tenth of that is its own.
+    // The job's maximum wait ends 375 ms after its arrival; it stops yielding in the last tenth of that time.
     let effects = entry.status(387, 0, 16_000, 0, None, Vec::new());
     assert!(!started_jobs(&effects).contains(&JobId(2)), "{effects:?}");
     let effects = tick(&mut entry, 388);
@@ -72,11 +72,11 @@
 }
 
 #[test]
-fn a_begun_job_with_time_left_gives_way_too() {
+fn a_started_job_with_time_left_yields_too() {
     let mut entry = Entry::with_sides(&[3_200]);
     let effects = entry.submit_to("large", 10, 1, job(1, 2, 900));
     assert_eq!(started_jobs(&effects), [JobId(1), JobId(1)]);
-    // One of its tasks did not begin and waits again.
+    // One task of the job did not start and waits again.
     let turned_away = ended(starts(&effects)[1].1, EndOfRun::NotRun(NotRunCause::NoRoom));
     entry.status(15, 0, 0, 2, None, vec![turned_away]);
     entry.submit_to("small", 20, 2, job(2, 1, 200));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_queue_that_has_lost_more_gives_way_no_more() {
+fn a_queue_with_more_refused_jobs_does_not_yield() {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit_to("large", 10, 1, job(1, 1, 900));
     entry.status(300, 0, 0, 0, None, Vec::new());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn jobs_of_a_more_urgent_queue_do_not_give_way() {
+fn jobs_of_a_more_urgent_queue_do_not_yield() {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit_as(10, 1, job(1, 1, 200), 9_000, 1);
     entry.submit_to("large", 50, 2, job(2, 1, 900));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn room_that_is_short_for_a_moment_only_makes_nobody_wait() {
+fn a_brief_lack_of_capacity_makes_no_job_yield() {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit_to("small", 10, 1, job(1, 1, 200));
     entry.submit_to("large", 15, 2, job(2, 1, 900));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn small_jobs_that_are_served_press_nobody() {
+fn small_jobs_that_find_capacity_make_no_job_yield() {
     let mut entry = Entry::with_sides(&[16_000]);
     let effects = entry.submit_to("small", 10, 1, job(1, 1, 200));
     let done = starts(&effects).into_iter().map(|(_, run)| EndedRun {
@@ -131,17 +131,17 @@
 }
 
 #[test]
-fn a_job_whose_caller_leaves_soon_does_not_give_way() {
+fn a_job_whose_caller_leaves_soon_does_not_yield() {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit_to("small", 10, 1, job(1, 1, 200));
-    // Its caller's time leaves it 75 ms to spare.
+    // The caller's deadline leaves the job 75 ms to spare.
     entry.submit(50, 2, job(2, 1, 900), 1_000);
     let effects = entry.status(55, 0, 3_200, 0, None, Vec::new());
     assert_eq!(started_jobs(&effects), [JobId(1), JobId(2)]);
 }
 
 #[test]
-fn what_a_queue_lost_long_ago_is_forgotten() {
+fn jobs_that_a_queue_lost_long_ago_are_forgotten() {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit_to("large", 10, 1, job(1, 1, 900));
     for ms in (300..30_000).step_by(300) {
@@ -153,10 +153,10 @@
     assert_eq!(started_jobs(&effects), [JobId(2)]);
 }
 
-/// Guards against sides that hear of a job with little time too late, as one that gives way waits already.
+/// A yielding job that waits already must not delay the notice to sides of a job with little time.
 #[test]
-fn sides_hear_at_once_of_the_first_job_that_has_its_turn() {
-    let mut entry = pressed();
+fn sides_are_notified_at_once_of_the_first_job_that_does_not_yield() {
+    let mut entry = contended_entry();
     entry.status(55, 0, 1_600, 0, None, Vec::new());
     let effects = entry.submit_to("small", 60, 3, job(3, 1, 200));
     let needs = effects.iter().filter(|effect| {
--- a/crates/mastknot_core/tests/hard_load_interfaces.rs
+++ b/crates/mastknot_core/tests/hard_load_interfaces.rs
@@ -1,4 +1,5 @@
-//! What entries and sides tell each other where room is short: each of it survives its way over a link.
+//! Messages that entries and sides exchange where capacity is short: each keeps its value when it is sent over a
+//! link.
 
 mod common;
 
@@ -12,10 +13,11 @@
 };
 use mastknot_core::scheduler::{KnownLoad, LoadView, ScarcitySettings};
 
-fn over_link<T: Encode + Decode<()>>(value: &T) -> T {
+fn sent_over_link<T: Encode + Decode<()>>(value: &T) -> T {
     let config = bincode::config::standard();
-    let bytes = bincode::encode_to_vec(value, config).expect("it can be written");
-    let (read, length) = bincode::decode_from_slice(&bytes, config).expect("it can be read");
+    let bytes = bincode::encode_to_vec(value, config).expect("the value can be encoded");
+    let (read, length) =
+        bincode::decode_from_slice(&bytes, config).expect("the bytes can be decoded");
     assert_eq!(length, bytes.len());
     read
 }
@@ -28,7 +30,7 @@
 }
 
 #[test]
-fn a_need_is_told_by_rank() {
+fn a_need_lists_waiting_work_by_rank() {
     let need = WaitingNeed {
         rank: 1,
         required_capacity: cpu(12_800),
@@ -37,11 +39,11 @@
         waited_ms: 7,
         by_rank: vec![work(1), work(18)],
     };
-    assert_eq!(over_link(&need), need);
+    assert_eq!(sent_over_link(&need), need);
 }
 
 #[test]
-fn a_report_carries_a_grant_and_what_waits() {
+fn a_report_carries_a_grant_and_the_waiting_work() {
     let grant = CapacityGrant {
         capacity: cpu(3_200),
         ahead: cpu(1_600),
@@ -57,50 +59,50 @@
         load: Some(load),
         ..SideStatus::default()
     };
-    assert_eq!(over_link(&status), status);
+    assert_eq!(sent_over_link(&status), status);
 }
 
 #[test]
-fn weights_of_halls_travel_with_the_news() {
+fn weights_of_halls_travel_with_an_update() {
     let shares = ShareWeights {
         revision: 3,
         halls: [("hall-1".into(), 200)].into(),
     };
-    let news = EntryUpdate {
+    let update = EntryUpdate {
         grants_capacity: true,
         shares: Arc::new(shares),
         ..EntryUpdate::default()
     };
-    assert_eq!(over_link(&news), news);
-    assert_eq!(news.shares.of_hall(&"hall-1".into()), 200);
-    assert_eq!(news.shares.of_hall(&"hall-2".into()), 100);
+    assert_eq!(sent_over_link(&update), update);
+    assert_eq!(update.shares.of_hall(&"hall-1".into()), 200);
+    assert_eq!(update.shares.of_hall(&"hall-2".into()), 100);
 }
 
 #[test]
-fn grants_and_what_was_learned_are_on_unless_settings_say_otherwise() {
-    let usual = ScarcitySettings {
+fn grants_and_the_learned_profile_are_on_by_default() {
+    let defaults = ScarcitySettings {
         grants: true,
         forecast: false,
         shares: false,
         profile: true,
     };
-    assert_eq!(ScarcitySettings::default(), usual);
-    let switched = usual.with_part("grants", false);
+    assert_eq!(ScarcitySettings::default(), defaults);
+    let switched = defaults.with_part("grants", false);
     let switched = switched.and_then(|parts| parts.with_part("shares", true));
     let expected = ScarcitySettings {
         grants: false,
         shares: true,
-        ..usual
+        ..defaults
     };
     assert_eq!(switched, Ok(expected));
-    let unknown = usual
+    let unknown = defaults
         .with_part("forecasts", true)
         .expect_err("no such part");
     assert!(unknown.to_string().contains("`forecasts`"), "{unknown}");
 }
 
 #[test]
-fn the_load_of_a_side_and_what_was_learned_can_be_read() {
+fn the_load_of_a_side_and_the_learned_profile_can_be_read() {
     let known = KnownLoad {
         side: "side-1".into(),
         hall: "hall-1".into(),
@@ -115,14 +117,14 @@
         own: vec![work(16)],
     };
     assert_eq!(view.sides[0].load.waiting, []);
-    let pace = LearnedSlowdown {
+    let slowdown = LearnedSlowdown {
         queue: Arc::from("queue"),
         class: Arc::from("fast"),
         runs: 64,
         log_ratio: -0.2,
     };
     let profile = LearnedProfile {
-        slowdowns: vec![pace],
+        slowdowns: vec![slowdown],
         ..LearnedProfile::default()
     };
     assert_eq!(profile.run_times, []);
--- a/crates/mastknot_core/tests/held_grants.rs
+++ b/crates/mastknot_core/tests/held_grants.rs
@@ -1,4 +1,4 @@
-//! What an entry does with room that sides grant to it.
+//! How an entry uses and returns capacity that sides grant to it.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use mastknot_core::scheduler::{CallerId, SchedulerEffect, SchedulerEvent};
 use mastknot_core::types::WallTime;
 
-/// Hands in a job of a queue that competes with others by priority.
+/// Submits a job of a ranked queue, which competes with other queues by priority.
 fn submit(entry: &mut Entry, ms: u64, id: u64, tasks: u16, priority: u32) -> Vec<SchedulerEffect> {
     let policy = QueuePolicy {
         name: Arc::from("queue"),
@@ -35,7 +35,7 @@
     entry.scheduler.step(at(ms), event)
 }
 
-/// The needs that sides are told of.
+/// Returns the needs in the heartbeats that are sent to sides.
 fn needs(effects: &[SchedulerEffect]) -> Vec<&WaitingNeed> {
     let needs = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send {
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn what_waits_is_told_at_once_and_the_more_urgent_again() {
+fn waiting_work_is_reported_at_once_and_again_when_more_urgent_work_arrives() {
     let mut entry = Entry::with_sides(&[0, 0, 0]);
     let effects = submit(&mut entry, 100, 1, 4, 2);
-    let told = needs(&effects);
-    assert!(!told.is_empty(), "{effects:?}");
-    assert_eq!(told[0].by_rank.len(), 1);
-    assert_eq!(told[0].widest_job, told[0].required_capacity);
+    let reported = needs(&effects);
+    assert!(!reported.is_empty(), "{effects:?}");
+    assert_eq!(reported[0].by_rank.len(), 1);
+    assert_eq!(reported[0].widest_job, reported[0].required_capacity);
     let effects = submit(&mut entry, 101, 2, 1, 1);
-    let told = needs(&effects);
-    assert!(!told.is_empty(), "more urgent work is news");
-    assert_eq!(told[0].by_rank.len(), 2);
+    let reported = needs(&effects);
+    assert!(!reported.is_empty(), "more urgent work is reported");
+    assert_eq!(reported[0].by_rank.len(), 2);
     let effects = submit(&mut entry, 102, 3, 1, 2);
-    assert_eq!(needs(&effects).len(), 0, "less urgent work is not");
+    assert_eq!(needs(&effects).len(), 0, "less urgent work is not reported");
 }
 
 #[test]
@@ -97,13 +97,13 @@
     let report = grant(&mut entry, 8_000, 30, true);
     let effects = entry.reports(105, 0, vec![report]);
     assert_eq!(starts(&effects).len(), 1);
-    assert_eq!(heartbeats(&effects), 1, "the rest goes back at once");
+    assert_eq!(heartbeats(&effects), 1, "the rest is returned at once");
     let effects = submit(&mut entry, 106, 2, 1, 0);
-    assert_eq!(starts(&effects).len(), 0, "what went back is not used");
+    assert_eq!(starts(&effects).len(), 0, "returned capacity is not used");
 }
 
 #[test]
-fn a_standing_grant_is_kept_for_the_next_job_until_its_time_is_over() {
+fn a_standing_grant_is_kept_for_the_next_job_until_it_expires() {
     let mut entry = Entry::with_sides(&[0]);
     submit(&mut entry, 100, 1, 1, 0);
     let report = grant(&mut entry, 8_000, 60, false);
@@ -112,11 +112,11 @@
     let effects = submit(&mut entry, 164, 2, 1, 0);
     assert_eq!(starts(&effects).len(), 1);
     let effects = submit(&mut entry, 165, 3, 1, 0);
-    assert_eq!(starts(&effects).len(), 0, "the grant is over");
+    assert_eq!(starts(&effects).len(), 0, "the grant has expired");
 }
 
 #[test]
-fn the_load_of_sides_is_kept_with_its_age() {
+fn the_load_of_a_side_is_stored_with_its_age() {
     let mut entry = Entry::with_sides(&[0]);
     submit(&mut entry, 100, 1, 2, 1);
     let waiting = vec![RankedWork {
--- a/crates/mastknot_core/tests/job_claims.rs
+++ b/crates/mastknot_core/tests/job_claims.rs
@@ -1,4 +1,4 @@
-//! Claims at a side: of the entries that were handed a job one has it at a time.
+//! Claims at a side: of the entries to which the same job was submitted, one owns it at a time.
 
 mod common;
 
@@ -21,16 +21,16 @@
     EntryOrder::ReleaseClaim(JOB)
 }
 
-/// What the side says of the job, and to whom; the name is that of the entry which has it.
-fn told(effects: &[AgentEffect]) -> Vec<(SessionId, Option<String>)> {
-    let told = effects.iter().filter_map(|effect| match effect {
+/// Returns the side's answers about the job: link, and the name of the owner unless the claim was granted.
+fn claim_answers(effects: &[AgentEffect]) -> Vec<(SessionId, Option<String>)> {
+    let claim_answers = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Send {
             session,
             report: SideReport::Claim { job: JOB, answer },
         } => Some((*session, holder_in(answer))),
         _ => None,
     });
-    told.collect()
+    claim_answers.collect()
 }
 
 fn holder_in(answer: &ClaimAnswer) -> Option<String> {
@@ -48,7 +48,7 @@
     vec![(session, Some(entry.to_string()))]
 }
 
-/// A side with three entries, linked at 1,000 ms.
+/// Returns a side with three entries, linked at 1,000 ms.
 fn side_with_entries() -> Side {
     let mut side = Side::ready();
     side.join(1_000, OTHER, "entry-2", 1);
@@ -56,8 +56,8 @@
     side
 }
 
-/// Entries live on for a time: they confirm each report. Returns when the side says something of the job, and what.
-fn live_on(
+/// Lets entries acknowledge each report for a time; returns the time and the link of each answer about the job.
+fn keep_acknowledging(
     side: &mut Side,
     sessions: &[SessionId],
     from: u64,
@@ -72,7 +72,7 @@
         };
         for session in sessions {
             let effects = side.order(ms, *session, heartbeat.clone());
-            let sent = told(&effects).into_iter();
+            let sent = claim_answers(&effects).into_iter();
             granted.extend(sent.map(|(session, _)| (ms, session)));
         }
     }
@@ -84,12 +84,12 @@
 }
 
 #[test]
-fn the_first_entry_that_asks_has_the_job_and_the_next_waits() {
+fn the_first_entry_that_claims_owns_the_job_and_the_next_waits() {
     let mut side = side_with_entries();
     let effects = side.order(1_001, ENTRY, claim(2_000));
-    assert_eq!(told(&effects), granted_to(ENTRY));
+    assert_eq!(claim_answers(&effects), granted_to(ENTRY));
     let effects = side.order(1_002, OTHER, claim(2_000));
-    assert_eq!(told(&effects), held_by(OTHER, "entry-1"));
+    assert_eq!(claim_answers(&effects), held_by(OTHER, "entry-1"));
     assert_eq!(side.agent.claimed_jobs(), 1);
 }
 
@@ -100,78 +100,78 @@
     side.order(1_002, OTHER, claim(2_000));
     side.order(1_003, THIRD, claim(2_000));
     let effects = side.order(1_010, ENTRY, release());
-    assert_eq!(told(&effects), granted_to(OTHER));
+    assert_eq!(claim_answers(&effects), granted_to(OTHER));
     let effects = side.order(1_011, ENTRY, claim(2_000));
-    assert_eq!(told(&effects), held_by(ENTRY, "entry-2"));
+    assert_eq!(claim_answers(&effects), held_by(ENTRY, "entry-2"));
     let effects = side.order(1_012, OTHER, release());
-    assert_eq!(told(&effects), granted_to(THIRD));
+    assert_eq!(claim_answers(&effects), granted_to(THIRD));
     let effects = side.order(1_013, THIRD, release());
-    assert_eq!(told(&effects), granted_to(ENTRY));
+    assert_eq!(claim_answers(&effects), granted_to(ENTRY));
     let effects = side.order(1_014, ENTRY, release());
-    assert_eq!(told(&effects), []);
+    assert_eq!(claim_answers(&effects), []);
     assert_eq!(side.agent.claimed_jobs(), 0);
 }
 
 #[test]
-fn an_entry_that_asks_twice_is_granted_once() {
+fn an_entry_that_claims_twice_is_granted_once() {
     let mut side = side_with_entries();
     side.order(1_001, ENTRY, claim(2_000));
     side.order(1_002, OTHER, claim(2_000));
     side.order(1_003, OTHER, claim(2_000));
     side.order(1_010, ENTRY, release());
-    assert_eq!(told(&side.order(1_011, OTHER, release())), []);
+    assert_eq!(claim_answers(&side.order(1_011, OTHER, release())), []);
     assert_eq!(side.agent.claimed_jobs(), 0);
 }
 
 #[test]
-fn an_entry_that_waits_no_more_is_not_granted_the_job() {
+fn an_entry_that_stopped_waiting_is_not_granted_the_job() {
     let mut side = side_with_entries();
     side.order(1_001, ENTRY, claim(2_000));
     side.order(1_002, OTHER, claim(2_000));
-    assert_eq!(told(&side.order(1_003, OTHER, release())), []);
-    assert_eq!(told(&side.order(1_004, ENTRY, release())), []);
+    assert_eq!(claim_answers(&side.order(1_003, OTHER, release())), []);
+    assert_eq!(claim_answers(&side.order(1_004, ENTRY, release())), []);
     assert_eq!(side.agent.claimed_jobs(), 0);
 }
 
 #[test]
-fn a_claim_whose_time_is_over_passes_on() {
+fn an_expired_claim_passes_to_the_next_entry() {
     let mut side = side_with_entries();
     side.order(1_000, ENTRY, claim(500));
     side.order(1_000, OTHER, claim(300));
     side.order(1_000, THIRD, claim(2_000));
-    let granted = live_on(&mut side, &[ENTRY, OTHER, THIRD], 1_010, 2_500);
+    let granted = keep_acknowledging(&mut side, &[ENTRY, OTHER, THIRD], 1_010, 2_500);
     assert_eq!(granted, [(1_500, OTHER), (1_800, THIRD)]);
 }
 
 #[test]
-fn a_claim_that_nobody_waits_for_is_forgotten_when_its_time_is_over() {
+fn a_claim_without_waiting_entries_is_forgotten_when_it_expires() {
     let mut side = side_with_entries();
     side.order(1_000, ENTRY, claim(500));
-    live_on(&mut side, &[ENTRY, OTHER], 1_010, 1_490);
+    keep_acknowledging(&mut side, &[ENTRY, OTHER], 1_010, 1_490);
     assert_eq!(side.agent.claimed_jobs(), 1);
-    live_on(&mut side, &[ENTRY, OTHER], 1_490, 1_510);
+    keep_acknowledging(&mut side, &[ENTRY, OTHER], 1_490, 1_510);
     assert_eq!(side.agent.claimed_jobs(), 0);
 }
 
 #[test]
-fn a_renewed_claim_lasts_longer_and_whoever_waits_goes_on_waiting() {
+fn a_renewed_claim_lasts_longer_and_waiting_entries_keep_waiting() {
     let mut side = side_with_entries();
     side.order(1_000, ENTRY, claim(500));
     side.order(1_001, OTHER, claim(2_000));
-    live_on(&mut side, &[ENTRY, OTHER, THIRD], 1_010, 1_400);
+    keep_acknowledging(&mut side, &[ENTRY, OTHER, THIRD], 1_010, 1_400);
     let effects = side.order(1_400, ENTRY, claim(500));
-    assert_eq!(told(&effects), granted_to(ENTRY));
-    let granted = live_on(&mut side, &[ENTRY, OTHER, THIRD], 1_410, 2_500);
+    assert_eq!(claim_answers(&effects), granted_to(ENTRY));
+    let granted = keep_acknowledging(&mut side, &[ENTRY, OTHER, THIRD], 1_410, 2_500);
     assert_eq!(granted, [(1_900, OTHER)]);
 }
 
 #[test]
-fn the_job_of_an_entry_whose_link_is_gone_passes_on_when_its_runs_are_over() {
+fn the_job_of_a_disconnected_entry_passes_on_when_its_runs_are_over() {
     let mut side = side_with_entries();
     side.order(1_001, ENTRY, claim(5_000));
     side.order(1_002, OTHER, claim(2_000));
-    assert_eq!(told(&link_down(&mut side, 1_010, ENTRY)), []);
-    let granted = live_on(&mut side, &[OTHER, THIRD], 1_020, 2_500);
+    assert_eq!(claim_answers(&link_down(&mut side, 1_010, ENTRY)), []);
+    let granted = keep_acknowledging(&mut side, &[OTHER, THIRD], 1_020, 2_500);
     assert_eq!(granted, [(1_610, OTHER)], "600 ms after the link has gone");
 }
 
@@ -180,8 +180,9 @@
     let mut side = side_with_entries();
     side.order(1_001, ENTRY, claim(5_000));
     side.order(1_002, OTHER, claim(2_000));
-    let granted = live_on(&mut side, &[OTHER, THIRD], 1_010, 2_500);
-    // It last confirmed a report of 1,000 ms; its lease ends after 350 and what it runs elsewhere 600 later.
+    let granted = keep_acknowledging(&mut side, &[OTHER, THIRD], 1_010, 2_500);
+    // The entry last acknowledged a report of 1,000 ms. Its lease ends 350 ms later, and its runs elsewhere end 600
+    // ms after that.
     assert_eq!(granted, [(1_960, OTHER)]);
 }
 
@@ -191,7 +192,7 @@
     side.order(1_000, ENTRY, claim(200));
     side.order(1_001, OTHER, claim(2_000));
     link_down(&mut side, 1_010, ENTRY);
-    let granted = live_on(&mut side, &[OTHER, THIRD], 1_020, 2_500);
+    let granted = keep_acknowledging(&mut side, &[OTHER, THIRD], 1_020, 2_500);
     assert_eq!(granted, [(1_200, OTHER)]);
 }
 
@@ -204,31 +205,31 @@
     let again = SessionId(4);
     side.join(1_100, again, "entry-1", 1);
     let effects = side.order(1_101, again, claim(5_000));
-    assert_eq!(told(&effects), granted_to(again));
-    let granted = live_on(&mut side, &[again, OTHER, THIRD], 1_110, 3_000);
+    assert_eq!(claim_answers(&effects), granted_to(again));
+    let granted = keep_acknowledging(&mut side, &[again, OTHER, THIRD], 1_110, 3_000);
     assert_eq!(granted, []);
 }
 
 #[test]
-fn a_restarted_entry_waits_for_what_its_former_life_had() {
+fn a_restarted_entry_waits_for_a_job_of_its_earlier_incarnation() {
     let mut side = side_with_entries();
     side.order(1_001, ENTRY, claim(5_000));
     link_down(&mut side, 1_010, ENTRY);
     let again = SessionId(4);
     side.join(1_100, again, "entry-1", 2);
     let effects = side.order(1_101, again, claim(2_000));
-    assert_eq!(told(&effects), held_by(again, "entry-1"));
-    let granted = live_on(&mut side, &[again, OTHER, THIRD], 1_110, 2_500);
+    assert_eq!(claim_answers(&effects), held_by(again, "entry-1"));
+    let granted = keep_acknowledging(&mut side, &[again, OTHER, THIRD], 1_110, 2_500);
     assert_eq!(granted, [(1_610, again)]);
 }
 
 #[test]
-fn an_entry_whose_link_went_while_it_waited_is_passed_over() {
+fn an_entry_that_disconnected_while_it_waited_is_skipped() {
     let mut side = side_with_entries();
     side.order(1_001, ENTRY, claim(5_000));
     side.order(1_002, OTHER, claim(2_000));
     side.order(1_003, THIRD, claim(2_000));
     link_down(&mut side, 1_004, OTHER);
     let effects = side.order(1_005, ENTRY, release());
-    assert_eq!(told(&effects), granted_to(THIRD));
+    assert_eq!(claim_answers(&effects), granted_to(THIRD));
 }
--- a/crates/mastknot_core/tests/job_order.rs
+++ b/crates/mastknot_core/tests/job_order.rs
@@ -1,4 +1,4 @@
-//! Which waiting job goes first, and which one is refused.
+//! Order in which waiting jobs start, and which of them are refused.
 
 mod common;
 
@@ -6,14 +6,14 @@
 use mastknot_core::job::{EndOfRun, EndedRun, EntryOrder, JobAnswer, JobId};
 use mastknot_core::scheduler::{SchedulerDecision, SchedulerEffect, SchedulerEvent};
 
-/// The jobs of which tasks are started, in order.
+/// Returns the job of each started task, in order.
 fn started_jobs(effects: &[SchedulerEffect]) -> Vec<JobId> {
     let starts = starts(effects);
     starts.iter().map(|(_, run)| run.task.job).collect()
 }
 
 #[test]
-fn a_lower_priority_goes_first_among_what_can_be_in_time() {
+fn a_lower_priority_value_goes_first_among_jobs_that_can_be_in_time() {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit_as(10, 1, job(1, 1, 100), 9_000, 2);
     entry.submit_as(11, 2, job(2, 1, 100), 9_000, 0);
@@ -22,17 +22,17 @@
 }
 
 #[test]
-fn what_has_begun_is_finished_before_something_new_begins() {
+fn a_started_job_is_finished_before_a_new_one_starts() {
     let mut entry = Entry::with_sides(&[1_600]);
     entry.submit(10, 1, job(1, 2, 400), 9_000);
     entry.submit(11, 2, job(2, 1, 200), 9_000);
-    // The second job has to start earlier, but one task of the first one runs already.
+    // The second job has to start earlier, but one task of the first job is already running.
     let effects = entry.status(20, 0, 1_600, 1, None, Vec::new());
     assert_eq!(started_jobs(&effects), [JobId(1)]);
 }
 
 #[test]
-fn a_late_job_waits_for_what_can_be_in_time_although_it_is_nearly_done() {
+fn a_late_job_waits_for_jobs_that_can_be_in_time_although_it_is_nearly_done() {
     let mut entry = Entry::with_sides(&[6_400]);
     let effects = entry.submit(10, 1, job(1, 5, 100), 9_000);
     let done = starts(&effects).into_iter().map(|(_, run)| EndedRun {
@@ -40,7 +40,7 @@
         ..ended(run, EndOfRun::Done)
     });
     entry.status(150, 0, 0, 4, None, done.collect());
-    // Its objective (160 + 60 ms) has passed for the last of its five tasks.
+    // The first job has passed its latency objective (160 + 60 ms) when only the last of its five tasks is left.
     entry.submit(300, 2, job(2, 1, 100), 9_000);
     let effects = entry.status(301, 0, 1_600, 4, None, Vec::new());
     assert_eq!(started_jobs(&effects), [JobId(2)]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_has_begun_goes_before_a_new_job_of_better_priority() {
+fn a_started_job_goes_before_a_new_job_of_better_priority() {
     let mut entry = Entry::with_sides(&[1_600]);
     entry.submit_as(10, 1, job(1, 2, 400), 9_000, 2);
     entry.submit_as(11, 2, job(2, 1, 400), 9_000, 0);
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn a_job_that_finds_no_room_for_a_quarter_of_its_objective_is_refused_with_when_to_come_back() {
+fn a_job_that_finds_no_capacity_for_a_quarter_of_its_objective_is_refused_with_a_retry_time() {
     let mut entry = Entry::with_sides(&[0]);
-    // Its objective is 1,660 ms after its arrival.
+    // The job's latency objective is 1,660 ms after its arrival.
     entry.submit(10, 1, job(1, 1, 1_000), 9_000);
     let before = entry.status(424, 0, 0, 0, None, Vec::new());
     assert!(answers(&before).is_empty(), "{before:?}");
@@ -76,7 +76,7 @@
 #[test]
 fn a_caller_with_little_time_is_refused_after_a_quarter_of_it() {
     let mut entry = Entry::with_sides(&[0]);
-    // Its objective is 1,660 ms, but its caller waits for 1,000 ms only.
+    // The job's latency objective is 1,660 ms, but its caller waits for only 1,000 ms.
     entry.submit(10, 1, job(1, 1, 1_000), 1_000);
     let before = entry.status(255, 0, 0, 0, None, Vec::new());
     assert!(answers(&before).is_empty(), "{before:?}");
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn a_begun_job_without_hope_is_given_up_at_once_and_its_runs_are_stopped() {
+fn a_started_job_that_is_infeasible_is_given_up_at_once_and_its_runs_are_stopped() {
     let mut entry = Entry::with_sides(&[1_600]);
-    // Its objective is 220 ms: it earns nothing after 660 ms, and takes 100 ms more.
+    // The job's latency objective is 220 ms: it has no value after 660 ms and takes 100 ms more.
     entry.submit(10, 1, job(1, 2, 100), 9_000);
     entry.status(300, 0, 0, 1, None, Vec::new());
     let before = entry.status(550, 0, 0, 1, None, Vec::new());
@@ -115,7 +115,7 @@
     assert!(answers(&effects).is_empty(), "{effects:?}");
 }
 
-/// Lets a queue show that its steps take three times as long as callers guess.
+/// Runs jobs of a queue whose steps take three times as long as callers estimate.
 fn show_long_runs(entry: &mut Entry) {
     let mut starts_so_far = 0;
     for number in 0..40 {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn the_objective_follows_what_the_queue_has_shown() {
+fn the_objective_follows_the_run_times_of_the_queue() {
     let mut entry = Entry::with_sides(&[1_600]);
     show_long_runs(&mut entry);
     let effects = entry.submit(20_000, 1, job(1, 1, 100), 9_000);
@@ -141,22 +141,23 @@
         }
         _ => None,
     });
-    // 1.6 times the 300 ms that its steps take, and 60 ms more.
+    // 1.6 times the 300 ms that the queue's steps take, and 60 ms more.
     assert_eq!(objectives.collect::<Vec<u64>>(), [540]);
 }
 
-/// What was said of a job when it was answered.
-fn called_in_time(effects: &[SchedulerEffect]) -> Option<bool> {
+/// Returns whether the answered job was recorded as in time.
+fn recorded_in_time(effects: &[SchedulerEffect]) -> Option<bool> {
     effects.iter().find_map(|effect| match effect {
         SchedulerEffect::Decided(SchedulerDecision::Answered { in_time, .. }) => Some(*in_time),
         _ => None,
     })
 }
 
-/// Two tasks that were guessed to take `guess` ms end after these times; returns whether that was called in time.
-fn in_time_after(guess: u64, ran_ms: [u32; 2], answered: u64) -> Option<bool> {
+/// Runs a job of two tasks with an estimate of `estimate` ms that take these times; returns whether its answer at
+/// `answered` ms is recorded as in time.
+fn in_time_after(estimate: u64, ran_ms: [u32; 2], answered: u64) -> Option<bool> {
     let mut entry = Entry::with_sides(&[16_000]);
-    let effects = entry.submit(10, 1, job(1, 2, guess), 9_000);
+    let effects = entry.submit(10, 1, job(1, 2, estimate), 9_000);
     let runs = starts(&effects);
     let ended = runs.iter().zip(ran_ms).map(|((_, run), ran_ms)| EndedRun {
         ran_ms,
@@ -166,15 +167,15 @@
     for ms in (100..answered).step_by(100) {
         entry.status(ms, 0, 16_000, 2, None, Vec::new());
     }
-    called_in_time(&entry.status(answered, 0, 16_000, 2, None, ended))
+    recorded_in_time(&entry.status(answered, 0, 16_000, 2, None, ended))
 }
 
 #[test]
-fn a_job_is_called_in_time_by_the_work_it_had_and_not_by_the_guess() {
-    // 1.6 times 200 ms and 60 ms more are 380 ms; by the guess of 100 ms it was 220 ms.
+fn a_job_is_in_time_by_its_actual_work_and_not_by_the_estimate() {
+    // 1.6 times 200 ms and 60 ms more are 380 ms; by the estimate of 100 ms the objective was 220 ms.
     assert_eq!(in_time_after(100, [200, 190], 370), Some(true));
-    // 1.6 times 50 ms and 60 ms more are 140 ms; by the guess it was 220 ms.
+    // 1.6 times 50 ms and 60 ms more are 140 ms; by the estimate the objective was 220 ms.
     assert_eq!(in_time_after(100, [50, 48], 200), Some(false));
-    // One task stood on a slow target: its time is not the job's work.
+    // One task ran on a slow target, whose extra time does not count as the job's work.
     assert_eq!(in_time_after(100, [400, 100], 410), Some(false));
 }
--- a/crates/mastknot_core/tests/jobs_that_fit_in_part.rs
+++ b/crates/mastknot_core/tests/jobs_that_fit_in_part.rs
@@ -1,4 +1,4 @@
-//! A job of which only a part finds room, and jobs with less slack that come just after it.
+//! A job of which only some tasks find capacity, followed by jobs with less slack.
 
 mod common;
 
@@ -9,17 +9,19 @@
 const LONG: JobId = JobId(1);
 const NARROW: JobId = JobId(2);
 
-/// Its objective is 1,500 ms: its slack is 600 ms, and it is refused if nothing of it has begun after 375 ms.
+/// Submits the long job. Its latency objective is 1,500 ms: its slack is 600 ms, and it is refused if none of its
+/// tasks has started after 375 ms.
 fn submit_long(entry: &mut Entry, ms: u64) -> Vec<SchedulerEffect> {
     entry.submit(ms, LONG.0, job(LONG.0, 4, 900), 9_000)
 }
 
-/// Its objective is 380 ms: its slack is 180 ms, and it is refused if nothing of it has begun after 95 ms.
+/// Submits the narrow job. Its latency objective is 380 ms: its slack is 180 ms, and it is refused if none of its
+/// tasks has started after 95 ms.
 fn submit_narrow(entry: &mut Entry, ms: u64) -> Vec<SchedulerEffect> {
     entry.submit(ms, NARROW.0, job(NARROW.0, 2, 200), 9_000)
 }
 
-/// How many tasks of a job are started.
+/// Returns the number of tasks of a job that are started.
 fn started(effects: &[SchedulerEffect], job: JobId) -> usize {
     let starts = starts(effects);
     starts.iter().filter(|(_, run)| run.task.job == job).count()
@@ -35,13 +37,14 @@
     answers(effects).iter().any(|(_, answer)| refused(answer))
 }
 
-/// Guards against long jobs that begin in pieces, go first from then on and cost others their last moment to start.
+/// Guards against long jobs that start task by task, take precedence from then on, and make other jobs miss the last
+/// moment at which these can start.
 #[test]
-fn a_job_that_fits_in_part_leaves_the_room_to_one_with_less_slack() {
+fn a_job_that_fits_in_part_leaves_the_capacity_to_one_with_less_slack() {
     let mut entry = Entry::with_sides(&[3_200]);
     let mut effects = submit_long(&mut entry, 10);
     effects.extend(submit_narrow(&mut entry, 12));
-    // Room for two tasks comes free besides.
+    // Capacity for two more tasks becomes free.
     let running = starts(&effects).len() as u32;
     let free = 3_200 * 2 - 1_600 * running;
     effects.extend(entry.status(60, 0, free, u64::from(running), None, Vec::new()));
@@ -49,7 +52,8 @@
     assert!(!is_refused(&effects), "{:?}", answers(&effects));
     assert_eq!(started(&effects, NARROW), 2);
 
-    // The narrow job is done, and the room for the rest of the long one is there long before its slack is over.
+    // The narrow job is done, and the capacity for the other tasks of the long job is free long before its slack is
+    // used up.
     let done = runs_of(&effects, NARROW).into_iter().map(|run| EndedRun {
         ran_ms: 200,
         ..ended(run, EndOfRun::Done)
--- a/crates/mastknot_core/tests/learned_profile.rs
+++ b/crates/mastknot_core/tests/learned_profile.rs
@@ -1,4 +1,5 @@
-//! What outlasts the processes: the document, and what an entry makes of one that it reads.
+//! Learned profile that is kept across restarts of all processes: its encoded document, and how an entry applies one
+//! that it reads.
 
 mod common;
 
@@ -21,7 +22,7 @@
 const WRITTEN: u64 = 1_700_000_000_000;
 const HOUR_MS: u64 = 60 * 60 * 1_000;
 
-fn pace(queue: &str, class: &str, runs: u32, log_ratio: f64) -> LearnedSlowdown {
+fn slowdown(queue: &str, class: &str, runs: u32, log_ratio: f64) -> LearnedSlowdown {
     LearnedSlowdown {
         queue: Arc::from(queue),
         class: Arc::from(class),
@@ -54,16 +55,16 @@
     LearnedProfile {
         written_ms: WRITTEN,
         slowdowns: vec![
-            pace("queue", "fast", 400, -0.4),
-            pace("queue", "slow", 90, 0.4),
+            slowdown("queue", "fast", 400, -0.4),
+            slowdown("queue", "slow", 90, 0.4),
         ],
         run_times: vec![times("queue", 200)],
         suspects: vec![suspect("queue")],
     }
 }
 
-/// The same without suspects: its queue has all targets.
-fn paces_only() -> LearnedProfile {
+/// Returns [`profile`] without suspects, so that its queue may use all targets.
+fn slowdowns_only() -> LearnedProfile {
     LearnedProfile {
         suspects: Vec::new(),
         ..profile()
@@ -71,7 +72,7 @@
 }
 
 fn bytes_of(profile: &LearnedProfile) -> Vec<u8> {
-    profile.encode().expect("it can be written")
+    profile.encode().expect("the document can be encoded")
 }
 
 fn cause(bytes: &[u8]) -> &'static str {
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_part_of_a_document_is_none() {
+fn a_truncated_or_extended_document_is_rejected() {
     let bytes = bytes_of(&profile());
     for length in 0..bytes.len() {
         assert_eq!(cause(&bytes[..length]), "cut", "{length} bytes");
@@ -97,18 +98,18 @@
 }
 
 #[test]
-fn a_changed_document_is_none() {
+fn a_changed_document_is_rejected() {
     let bytes = bytes_of(&profile());
-    for place in 0..bytes.len() {
+    for position in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[place] ^= 0x10;
-        assert_ne!(cause(&changed), "none", "byte {place}");
+        changed[position] ^= 0x10;
+        assert_ne!(cause(&changed), "none", "byte {position}");
     }
 }
 
-/// Figures in place and checksum, and rubbish behind them.
+/// Encodes a valid header and checksum followed by random bytes.
 #[test]
-fn a_right_checksum_makes_no_document_of_rubbish() {
+fn random_bytes_with_a_valid_checksum_decode_to_bounded_values_or_not_at_all() {
     let mut rng = StdRng::seed_from_u64(1);
     let header = bytes_of(&LearnedProfile::default());
     for _ in 0..20_000 {
@@ -121,15 +122,15 @@
         let Ok(read) = LearnedProfile::decode(&bytes) else {
             continue;
         };
-        let mut paces = read.slowdowns.iter();
-        assert!(paces.all(|pace| pace.log_ratio.abs() <= 50.0));
+        let mut slowdowns = read.slowdowns.iter();
+        assert!(slowdowns.all(|slowdown| slowdown.log_ratio.abs() <= 50.0));
         let mut suspects = read.suspects.iter();
         assert!(suspects.all(|suspect| (1..=1_000).contains(&suspect.share_per_mille)));
     }
 }
 
 #[test]
-fn an_older_format_and_foreign_bytes_say_what_they_are() {
+fn the_cause_of_a_rejected_document_names_its_defect() {
     let mut older = bytes_of(&profile());
     older[0] = older[0].wrapping_sub(1);
     assert_eq!(cause(&older), "other_format");
@@ -138,14 +139,15 @@
 }
 
 #[test]
-fn a_document_is_small_whatever_the_fleet_and_keeps_what_stands_on_most_runs() {
+fn a_document_is_small_for_any_fleet_and_keeps_the_values_with_most_runs() {
     let long = "q".repeat(80);
-    let paces = (0..4_000).map(|number| pace(&format!("{long}{number}"), "class", number, 0.1));
+    let slowdowns =
+        (0..4_000).map(|number| slowdown(&format!("{long}{number}"), "class", number, 0.1));
     let queues = (0..4_000).map(|number| times(&format!("{long}{number}"), number));
     let kinds = (0..4_000).map(|number| suspect(&format!("{number}")));
     let written = LearnedProfile {
         written_ms: WRITTEN,
-        slowdowns: paces.collect(),
+        slowdowns: slowdowns.collect(),
         run_times: queues.collect(),
         suspects: kinds.collect(),
     };
@@ -158,36 +160,36 @@
 }
 
 #[test]
-fn what_is_no_figure_is_not_written() {
+fn values_that_are_not_numbers_are_not_written() {
     let written = LearnedProfile {
         slowdowns: vec![
-            pace("queue", "fast", 40, f64::NAN),
-            pace("queue", "slow", 40, 0.1),
+            slowdown("queue", "fast", 40, f64::NAN),
+            slowdown("queue", "slow", 40, 0.1),
         ],
         ..LearnedProfile::default()
     };
     let read = LearnedProfile::decode(&bytes_of(&written)).expect("it can be read");
-    assert_eq!(read.slowdowns, [pace("queue", "slow", 40, 0.1)]);
+    assert_eq!(read.slowdowns, [slowdown("queue", "slow", 40, 0.1)]);
 }
 
 #[test]
-fn a_belief_counts_as_few_runs_and_less_the_older_it_is() {
+fn a_prior_counts_as_few_runs_and_fewer_with_age() {
     let runs_after = |ms: u64| {
         let aged = profile().aged(WallTime::from_millis(WRITTEN + ms));
-        aged.slowdowns.first().map(|pace| pace.runs)
+        aged.slowdowns.first().map(|slowdown| slowdown.runs)
     };
     assert_eq!(runs_after(0), Some(32));
     assert_eq!(runs_after(23 * HOUR_MS), Some(32));
     assert_eq!(runs_after(25 * HOUR_MS), Some(16));
     assert_eq!(runs_after(49 * HOUR_MS), Some(8));
     assert_eq!(runs_after(24 * 365 * HOUR_MS), None);
-    // The reader's clock is behind the writer's.
+    // The reader's clock is behind that of the writer.
     let ahead = profile().aged(WallTime::from_millis(WRITTEN - HOUR_MS));
     assert_eq!(ahead.slowdowns[0].runs, 32);
 }
 
 #[test]
-fn suspects_of_long_ago_are_not_believed() {
+fn old_suspects_are_dropped() {
     let after = |ms| profile().aged(WallTime::from_millis(WRITTEN + ms)).suspects;
     assert_eq!(after(9 * 60 * 1_000).len(), 1);
     assert_eq!(after(11 * 60 * 1_000), []);
@@ -242,7 +244,7 @@
     entry.scheduler.step(at(ms), event)
 }
 
-/// A job of a ranked queue has run for this time at a side.
+/// Runs a job of a ranked queue that takes this time.
 fn run(entry: &mut Entry, ms: u64, number: u64, ran_ms: u32) {
     let effects = submit(entry, ms, number, true);
     let (side, run) = starts(&effects)[0];
@@ -254,7 +256,7 @@
     entry.status(ms + 1, side, 16_000, u64::MAX, None, vec![end]);
 }
 
-/// The class of a side is the first label of its target.
+/// Sets the class of a side, which is the first label of its target.
 fn name_class(entry: &mut Entry, side: u64, class: &str) {
     let target = TargetProfile {
         labels: vec![Arc::from(class)],
@@ -263,7 +265,7 @@
     entry.status(1, side, 16_000, 0, Some(target), Vec::new());
 }
 
-/// Half of the targets are slow; the document says which class is.
+/// Returns an entry with as many fast as slow targets, by the classes that the document knows.
 fn unequal_entry(scarcity: ScarcitySettings) -> Entry {
     let mut entry = entry_with(scarcity);
     for side in 0..8 {
@@ -273,7 +275,7 @@
     entry
 }
 
-/// How many of the first jobs whose objective is near go to fast targets.
+/// Returns how many of four jobs with a near objective start on fast targets.
 fn on_fast(entry: &mut Entry, is_ranked: bool) -> usize {
     let jobs = 1..5;
     let sides = jobs.filter_map(|number| {
@@ -284,55 +286,60 @@
 }
 
 #[test]
-fn paces_of_earlier_processes_are_used_for_the_first_job() {
+fn slowdowns_of_earlier_processes_are_used_for_the_first_job() {
     let mut entry = unequal_entry(ScarcitySettings::default());
-    read(&mut entry, 5, paces_only(), 1_000);
+    read(&mut entry, 5, slowdowns_only(), 1_000);
     assert_eq!(on_fast(&mut entry, true), 4);
 }
 
 #[test]
-fn without_ranked_queues_paces_are_not_used_but_passed_on() {
-    let mut told = unequal_entry(ScarcitySettings::default());
-    let mut untold = told.clone();
-    read(&mut told, 5, paces_only(), 1_000);
-    assert_eq!(on_fast(&mut told, false), on_fast(&mut untold, false));
-    assert_eq!(told.scheduler.learned().slowdowns.len(), 2);
+fn without_ranked_queues_slowdowns_are_not_used_but_passed_on() {
+    let mut informed = unequal_entry(ScarcitySettings::default());
+    let mut uninformed = informed.clone();
+    read(&mut informed, 5, slowdowns_only(), 1_000);
+    assert_eq!(
+        on_fast(&mut informed, false),
+        on_fast(&mut uninformed, false)
+    );
+    assert_eq!(informed.scheduler.learned().slowdowns.len(), 2);
     let wall = WallTime::from_millis(WRITTEN + 2 * HOUR_MS);
-    let offer = told.scheduler.profile_offer(Some(&paces_only()), wall);
-    assert_eq!(offer, None, "nothing of it is its own");
+    let offer = informed
+        .scheduler
+        .profile_offer(Some(&slowdowns_only()), wall);
+    assert_eq!(offer, None, "none of the values are from own runs");
 }
 
 #[test]
-fn with_the_switch_off_nothing_is_taken_or_offered() {
+fn with_the_profile_switched_off_nothing_is_applied_or_offered() {
     let off = ScarcitySettings {
         profile: false,
         ..ScarcitySettings::default()
     };
-    let mut told = unequal_entry(off);
-    let mut untold = told.clone();
-    assert_eq!(read(&mut told, 5, paces_only(), 1_000), []);
-    assert_eq!(on_fast(&mut told, true), on_fast(&mut untold, true));
-    assert_eq!(told.scheduler.counters().profiles_read, 0);
+    let mut informed = unequal_entry(off);
+    let mut uninformed = informed.clone();
+    assert_eq!(read(&mut informed, 5, slowdowns_only(), 1_000), []);
+    assert_eq!(on_fast(&mut informed, true), on_fast(&mut uninformed, true));
+    assert_eq!(informed.scheduler.counters().profiles_read, 0);
     let wall = WallTime::from_millis(WRITTEN);
-    assert_eq!(told.scheduler.profile_offer(None, wall), None);
+    assert_eq!(informed.scheduler.profile_offer(None, wall), None);
 }
 
 #[test]
-fn what_stands_on_more_own_runs_is_not_replaced() {
+fn values_from_more_own_runs_are_not_replaced() {
     let mut entry = entry();
     for number in 0..40 {
         run(&mut entry, 10 + 10 * number, 1 + number, 400);
     }
     let own = entry.scheduler.learned().run_times;
     assert_eq!(own[0].steps, 40);
-    read(&mut entry, 1_000, paces_only(), 1_000);
+    read(&mut entry, 1_000, slowdowns_only(), 1_000);
     assert_eq!(entry.scheduler.learned().run_times, own);
 }
 
 #[test]
-fn fresh_runs_soon_outweigh_what_was_read() {
+fn new_runs_soon_outweigh_the_read_values() {
     let mut entry = entry();
-    read(&mut entry, 5, paces_only(), 1_000);
+    read(&mut entry, 5, slowdowns_only(), 1_000);
     let ratio = |entry: &Entry| {
         let times = &entry.scheduler.learned().run_times[0];
         times.log_run_time - times.log_estimate
@@ -342,10 +349,10 @@
     for number in 1..65 {
         run(&mut entry, 10 + 10 * number, 1 + number, 400);
     }
-    assert!(first > 0.45, "believed at first: {first}");
+    assert!(first > 0.45, "the prior counts at first: {first}");
     assert!(
         ratio(&entry) < first / 2.0,
-        "runs took what was guessed: {}",
+        "runs took as long as estimated: {}",
         ratio(&entry)
     );
 }
@@ -378,7 +385,7 @@
     entry.scheduler.step(at(10_100), SchedulerEvent::Tick);
     assert_eq!(entry.scheduler.counters().kinds_released, 1);
     assert_eq!(entry.scheduler.learned().suspects, []);
-    // What is read again later, of before the release, contains it no more.
+    // A document that is read again later, from before the release, does not contain the kind again.
     read(&mut entry, 11_000, profile(), 1_000);
     assert_eq!(known_kinds(&entry), 1);
 }
--- a/crates/mastknot_core/tests/link_lives.rs
+++ b/crates/mastknot_core/tests/link_lives.rs
@@ -1,4 +1,4 @@
-//! A side that has crashed and started again, while a greeting of its earlier life is still on the way to the entry.
+//! A side that crashed and restarted while a hello of its earlier incarnation is still on the way to the entry.
 
 mod common;
 
@@ -12,9 +12,9 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-/// The link of the life that runs.
+/// Link of the incarnation that runs.
 const LIVING: u64 = 1;
-/// A link that the life before had opened; nobody is left to answer on it.
+/// Link that the earlier incarnation opened, on which nothing answers any more.
 const DEAD: u64 = 2;
 
 fn hello(incarnation: u64) -> SideReport {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_late_greeting_does_not_take_the_place_of_a_link_that_stands() {
+fn a_late_hello_does_not_replace_an_established_link() {
     let mut entry = Entry::with_sides(&[]);
     entry.join(0, 0, 16_000);
     let effects = entry.reports(10, DEAD, vec![hello(0)]);
@@ -62,17 +62,17 @@
     let effects = entry.submit(11, 1, job(1, 2, 100), 2_000);
     let to: Vec<u64> = starts(&effects).iter().map(|(side, _)| *side).collect();
     assert_eq!(to, [0, 0]);
-    // Nobody has answered on it for as long as a link may be silent.
+    // No answer has come on this link for the silence timeout.
     let effects = entry.status(360, 0, 16_000, 2, None, Vec::new());
     assert!(is_closed(&effects, DEAD), "{effects:?}");
     assert_eq!(entry.scheduler.counters().greetings_unanswered, 1);
 }
 
 #[test]
-fn a_new_life_that_answers_takes_the_place_of_the_link_before() {
+fn a_new_incarnation_that_answers_replaces_the_earlier_link() {
     let mut entry = Entry::with_sides(&[]);
     entry.join(0, 0, 16_000);
-    // The lower number is that of a clock that was set back.
+    // The lower incarnation number comes from a clock that was set back.
     let effects = entry.reports(10, LIVING, vec![hello(0)]);
     assert!(is_welcomed(&effects, LIVING));
     let effects = entry.reports(12, LIVING, vec![resume()]);
@@ -83,8 +83,8 @@
     assert_eq!(to, [LIVING, LIVING]);
 }
 
-/// Greetings of both lives arrive in any order, at an entry that knows one of them, or neither; only the living one
-/// answers. With the last greeting winning, the living link was closed in about half of the orders.
+/// Hellos of both incarnations arrive in any order at an entry that knows one of them or neither, and only the living
+/// one answers. When the last hello won, the living link was closed in about half of the orders.
 #[test]
 fn in_any_order_of_arrival_the_link_of_the_living_side_stays() {
     for seed in 0..200 {
@@ -97,11 +97,11 @@
             true => (2, 1),
             false => (1, 2),
         };
-        let mut greetings = vec![(LIVING, living), (DEAD, dead)];
-        greetings.shuffle(&mut rng);
+        let mut hellos = vec![(LIVING, living), (DEAD, dead)];
+        hellos.shuffle(&mut rng);
         let mut ms = 10;
         let mut answers = Vec::new();
-        for (session, incarnation) in greetings {
+        for (session, incarnation) in hellos {
             ms += rng.random_range(1..5);
             let effects = entry.reports(ms, session, vec![hello(incarnation)]);
             assert!(!is_closed(&effects, LIVING), "seed {seed}: {effects:?}");
--- a/crates/mastknot_core/tests/linked_again.rs
+++ b/crates/mastknot_core/tests/linked_again.rs
@@ -1,11 +1,11 @@
-//! An entry whose lease has ended links again while runs of it are not known to be over.
+//! An entry whose lease has ended links again before its runs are known to be over.
 
 mod common;
 
 use common::side::*;
 use mastknot_core::agent::{AgentEffect, AgentEvent, TargetRunning, TargetView};
 
-/// The hold that a look asks for.
+/// Returns the end of the hold that a probe requests.
 fn hold(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         AgentEffect::Probe { hold_until_ms, .. } => *hold_until_ms,
@@ -27,7 +27,7 @@
     side.step(ms, AgentEvent::Probed { number, result })
 }
 
-/// A run that did not stop when its lease ended was held on under the lease of the same entry's next link.
+/// A run that did not stop when its lease ended used to be held under the lease of the same entry's next link.
 #[test]
 fn a_run_whose_lease_has_ended_is_not_held_by_the_next_link_of_its_entry() {
     let mut side = Side::ready();
@@ -38,6 +38,9 @@
     side.join(1_380, OTHER, "entry-1", 1);
     let effects = answer_listing(&mut side, 1_400, &effects);
     let latest = 1_000 + 1_000 + 500;
-    let asked = hold(&effects).expect("a look that holds");
-    assert!(asked <= latest, "held until {asked}, allowed {latest}");
+    let requested = hold(&effects).expect("a probe that requests a hold");
+    assert!(
+        requested <= latest,
+        "held until {requested}, allowed {latest}"
+    );
 }
