--- a/crates/mastknot_core/tests/profile_writing.rs
+++ b/crates/mastknot_core/tests/profile_writing.rs
@@ -1,4 +1,4 @@
-//! Who writes what was learned, when, and what is made of the store's answers.
+//! Writing of the learned profile: which entry writes it and when, and how the store's answers are handled.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     Moment::from_millis(seconds * 1_000)
 }
 
-fn pace(class: &str, runs: u32, log_ratio: f64) -> LearnedSlowdown {
+fn slowdown(class: &str, runs: u32, log_ratio: f64) -> LearnedSlowdown {
     LearnedSlowdown {
         queue: Arc::from("queue"),
         class: Arc::from(class),
@@ -27,12 +27,12 @@
     }
 }
 
-fn times(log_ran: f64) -> LearnedRunTimes {
+fn times(log_run_time: f64) -> LearnedRunTimes {
     LearnedRunTimes {
         queue: Arc::from("queue"),
         steps: 64,
         log_estimate: 0.0,
-        log_run_time: log_ran,
+        log_run_time: log_run_time,
         estimate_variance: 0.1,
         covariance: 0.1,
     }
@@ -50,50 +50,62 @@
 fn written() -> LearnedProfile {
     LearnedProfile {
         written_ms: WRITTEN,
-        slowdowns: vec![pace("fast", 64, -0.3)],
+        slowdowns: vec![slowdown("fast", 64, -0.3)],
         run_times: vec![times(0.2)],
         suspects: vec![suspect(1)],
     }
 }
 
-/// What is new after a change of what was written.
-fn news_of(change: impl Fn(&mut LearnedProfile)) -> Option<ProfileUpdate> {
+/// Returns the update that this change of the written profile makes necessary, if any.
+fn update_after(change: impl Fn(&mut LearnedProfile)) -> Option<ProfileUpdate> {
     let mut own = written();
     change(&mut own);
     profile_update(Some(&written()), &own, true)
 }
 
 #[test]
-fn small_changes_are_not_worth_a_write() {
-    assert_eq!(news_of(|_| {}), None);
-    assert_eq!(news_of(|own| own.slowdowns[0].log_ratio -= 0.2), None);
-    assert_eq!(news_of(|own| own.slowdowns[0].runs = 9_000), None);
-    assert_eq!(news_of(|own| own.run_times[0].log_run_time += 0.2), None);
-    assert_eq!(news_of(|own| own.slowdowns.clear()), None);
+fn small_changes_need_no_write() {
+    assert_eq!(update_after(|_| {}), None);
+    assert_eq!(update_after(|own| own.slowdowns[0].log_ratio -= 0.2), None);
+    assert_eq!(update_after(|own| own.slowdowns[0].runs = 9_000), None);
     assert_eq!(
-        news_of(|own| own.slowdowns.push(pace("new", 15, 1.0))),
+        update_after(|own| own.run_times[0].log_run_time += 0.2),
+        None
+    );
+    assert_eq!(update_after(|own| own.slowdowns.clear()), None);
+    assert_eq!(
+        update_after(|own| own.slowdowns.push(slowdown("new", 15, 1.0))),
         None
     );
 }
 
 #[test]
-fn changes_that_matter_are_worth_a_write() {
-    let paces = Some(ProfileUpdate::Slowdown);
-    assert_eq!(news_of(|own| own.slowdowns[0].log_ratio -= 0.25), paces);
-    assert_eq!(news_of(|own| own.run_times[0].log_run_time += 0.25), paces);
+fn large_changes_need_a_write() {
+    let needs_slowdown_write = Some(ProfileUpdate::Slowdown);
+    assert_eq!(
+        update_after(|own| own.slowdowns[0].log_ratio -= 0.25),
+        needs_slowdown_write
+    );
     assert_eq!(
-        news_of(|own| own.slowdowns.push(pace("new", 16, 0.0))),
-        paces
+        update_after(|own| own.run_times[0].log_run_time += 0.25),
+        needs_slowdown_write
+    );
+    assert_eq!(
+        update_after(|own| own.slowdowns.push(slowdown("new", 16, 0.0))),
+        needs_slowdown_write
     );
     let hour = 60 * 60 * 1_000;
-    assert_eq!(news_of(|own| own.written_ms += hour), paces);
+    assert_eq!(
+        update_after(|own| own.written_ms += hour),
+        needs_slowdown_write
+    );
     let suspects = Some(ProfileUpdate::Suspect);
-    assert_eq!(news_of(|own| own.suspects.push(suspect(2))), suspects);
-    assert_eq!(news_of(|own| own.suspects.clear()), suspects);
+    assert_eq!(update_after(|own| own.suspects.push(suspect(2))), suspects);
+    assert_eq!(update_after(|own| own.suspects.clear()), suspects);
 }
 
 #[test]
-fn whoever_vouches_for_no_paces_writes_suspects_only() {
+fn an_entry_without_own_slowdowns_writes_suspects_only() {
     let own = LearnedProfile {
         suspects: Vec::new(),
         ..written()
@@ -103,55 +115,55 @@
         profile_update(None, &own, true),
         Some(ProfileUpdate::Slowdown)
     );
-    let news = profile_update(None, &written(), false);
-    assert_eq!(news, Some(ProfileUpdate::Suspect));
+    let update = profile_update(None, &written(), false);
+    assert_eq!(update, Some(ProfileUpdate::Suspect));
 }
 
-/// When an entry that sees this news each second writes for the first time.
+/// Returns the seconds after `from` at which an entry of this rank, with this update every second, first writes.
 fn first_write(
-    mut turn: ProfileWriteSchedule,
+    mut schedule: ProfileWriteSchedule,
     from: u64,
-    news: ProfileUpdate,
-    place: usize,
+    update: ProfileUpdate,
+    writer_rank: usize,
 ) -> u64 {
     let mut seconds = from..10_000;
-    let due = seconds.find(|second| turn.is_due(at(*second), Some(news), place, None));
-    due.expect("it writes at last") - from
+    let due = seconds.find(|second| schedule.is_due(at(*second), Some(update), writer_rank, None));
+    due.expect("the entry writes in the end") - from
 }
 
 #[test]
-fn the_first_writes_a_suspect_at_once_and_the_next_when_it_does_not() {
-    let turn = ProfileWriteSchedule::default();
-    assert_eq!(first_write(turn, 5, ProfileUpdate::Suspect, 0), 0);
-    assert_eq!(first_write(turn, 5, ProfileUpdate::Suspect, 1), 30);
-    assert_eq!(first_write(turn, 5, ProfileUpdate::Suspect, 2), 60);
+fn the_first_entry_writes_a_suspect_at_once_and_the_next_if_it_does_not() {
+    let schedule = ProfileWriteSchedule::default();
+    assert_eq!(first_write(schedule, 5, ProfileUpdate::Suspect, 0), 0);
+    assert_eq!(first_write(schedule, 5, ProfileUpdate::Suspect, 1), 30);
+    assert_eq!(first_write(schedule, 5, ProfileUpdate::Suspect, 2), 60);
 }
 
 #[test]
-fn paces_stand_for_a_while_before_they_are_written() {
-    let turn = ProfileWriteSchedule::default();
-    assert_eq!(first_write(turn, 5, ProfileUpdate::Slowdown, 0), 15);
-    assert_eq!(first_write(turn, 5, ProfileUpdate::Slowdown, 1), 315);
+fn slowdowns_must_last_before_they_are_written() {
+    let schedule = ProfileWriteSchedule::default();
+    assert_eq!(first_write(schedule, 5, ProfileUpdate::Slowdown, 0), 15);
+    assert_eq!(first_write(schedule, 5, ProfileUpdate::Slowdown, 1), 315);
 }
 
 #[test]
-fn writes_keep_their_distance() {
-    let mut turn = ProfileWriteSchedule::default();
-    turn.record_change(at(100));
-    assert_eq!(first_write(turn, 101, ProfileUpdate::Suspect, 0), 9);
-    assert_eq!(first_write(turn, 101, ProfileUpdate::Slowdown, 0), 59);
-    // An earlier process wrote it: only its age tells.
-    let mut turn = ProfileWriteSchedule::default();
-    let news = Some(ProfileUpdate::Suspect);
-    assert!(!turn.is_due(at(1), news, 0, Some(Duration::from_secs(9))));
-    assert!(turn.is_due(at(2), news, 0, Some(Duration::from_secs(10))));
+fn writes_have_a_minimum_interval() {
+    let mut schedule = ProfileWriteSchedule::default();
+    schedule.record_change(at(100));
+    assert_eq!(first_write(schedule, 101, ProfileUpdate::Suspect, 0), 9);
+    assert_eq!(first_write(schedule, 101, ProfileUpdate::Slowdown, 0), 59);
+    // An earlier process wrote the document: only the document's age is known.
+    let mut schedule = ProfileWriteSchedule::default();
+    let update = Some(ProfileUpdate::Suspect);
+    assert!(!schedule.is_due(at(1), update, 0, Some(Duration::from_secs(9))));
+    assert!(schedule.is_due(at(2), update, 0, Some(Duration::from_secs(10))));
 }
 
 #[test]
-fn a_suspect_that_is_found_while_paces_stand_does_not_wait_for_them() {
-    let mut turn = ProfileWriteSchedule::default();
-    assert!(!turn.is_due(at(1), Some(ProfileUpdate::Slowdown), 0, None));
-    assert!(turn.is_due(at(2), Some(ProfileUpdate::Suspect), 0, None));
+fn a_suspect_does_not_wait_for_slowdowns_that_are_not_due_yet() {
+    let mut schedule = ProfileWriteSchedule::default();
+    assert!(!schedule.is_due(at(1), Some(ProfileUpdate::Slowdown), 0, None));
+    assert!(schedule.is_due(at(2), Some(ProfileUpdate::Suspect), 0, None));
 }
 
 fn offer(second: u64, number: u32) -> Option<ProfileOffer> {
@@ -180,7 +192,7 @@
     }
 }
 
-/// A ledger that has found nothing written.
+/// Returns a ledger that has read the store and found no document.
 fn empty() -> ProfileLedger {
     let mut ledger = ProfileLedger::default();
     assert_eq!(next(&mut ledger, 0, 1), Some(ProfileCall::Read));
@@ -253,7 +265,7 @@
 }
 
 #[test]
-fn whoever_comes_second_takes_what_the_first_has_written() {
+fn the_second_writer_applies_what_the_first_has_written() {
     let mut ledger = empty();
     value(next(&mut ledger, 1, 1));
     ledger.record_write(at(1), ProfileWrite::Changed);
@@ -266,7 +278,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_told_once_and_written_over_under_its_revision() {
+fn an_unreadable_document_is_overwritten_under_its_revision() {
     let mut ledger = ProfileLedger::default();
     assert_eq!(next(&mut ledger, 0, 1), Some(ProfileCall::Read));
     let read = ledger.record_read(at(0), Some((4, b"rubbish that nobody knows")));
@@ -275,7 +287,7 @@
 }
 
 #[test]
-fn a_document_of_a_clock_that_is_ahead_holds_nobody_up() {
+fn a_document_of_a_clock_that_is_ahead_delays_no_write() {
     let mut ledger = ProfileLedger::default();
     assert_eq!(next(&mut ledger, 0, 1), Some(ProfileCall::Read));
     let ahead = LearnedProfile {
--- a/crates/mastknot_core/tests/relay.rs
+++ b/crates/mastknot_core/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Passing on the configuration between two processes: parts, sources that go, versions that are replaced.
+//! Transfer of the configuration between two processes: in parts, from sources that disconnect, and with versions
+//! that are replaced meanwhile.
 
 use std::time::Duration;
 
@@ -6,16 +7,16 @@
 use mastknot_core::relay::{DocumentFetch, DocumentServer, LinkRate};
 use mastknot_core::types::Moment;
 
-/// 2 Mbit/s, in bytes a second.
-const THIN: LinkRate = LinkRate::from_bytes_per_s(250_000);
-const NO_PATIENCE: Duration = Duration::ZERO;
+/// 2 Mbit/s, in bytes per second.
+const NARROW_LINK: LinkRate = LinkRate::from_bytes_per_s(250_000);
+const NO_TIMEOUT: Duration = Duration::ZERO;
 
 fn at(ms: u64) -> Moment {
     Moment::from_millis(ms)
 }
 
 fn document(version: u64, length: usize) -> ConfigDocument {
-    let bytes = (0..length).map(|place| (place as u64 * 7 + version) as u8);
+    let bytes = (0..length).map(|position| (position as u64 * 7 + version) as u8);
     ConfigDocument {
         version,
         bytes: bytes.collect::<Vec<u8>>().into(),
@@ -30,7 +31,7 @@
     newest: &ConfigDocument,
 ) -> DocumentPart {
     server.request(reader, request);
-    let (to, part) = server.poll(now, Some(newest), THIN).expect("a part");
+    let (to, part) = server.poll(now, Some(newest), NARROW_LINK).expect("a part");
     assert_eq!(to, reader);
     part
 }
@@ -43,27 +44,29 @@
     fetch.record_offer(1_u8, 3);
     let mut now = at(1_000);
     let mut parts = 0;
-    let whole = loop {
-        let (source, request) = fetch.poll(now, 2, NO_PATIENCE, THIN).expect("a request");
+    let document_received = loop {
+        let (source, request) = fetch
+            .poll(now, 2, NO_TIMEOUT, NARROW_LINK)
+            .expect("a request");
         let part = serve(&mut server, now, 9, request, &newest);
         assert_eq!(part.bytes.len().min(1_000), part.bytes.len());
         parts += 1;
-        if let Some(whole) = fetch.receive_part(source, part) {
-            break whole;
+        if let Some(document_received) = fetch.receive_part(source, part) {
+            break document_received;
         }
         now = now + Duration::from_millis(8);
     };
-    assert_eq!(whole, newest);
+    assert_eq!(document_received, newest);
     assert_eq!(parts, 11);
     assert_eq!(
-        fetch.poll(now, 2, NO_PATIENCE, THIN),
+        fetch.poll(now, 2, NO_TIMEOUT, NARROW_LINK),
         None,
-        "it is received"
+        "the document is complete"
     );
 }
 
 #[test]
-fn parts_take_half_of_the_link_whoever_asks() {
+fn parts_use_half_of_the_link_for_any_number_of_readers() {
     let newest = document(1, 100_000);
     let mut server = DocumentServer::default();
     let request = DocumentRequest {
@@ -76,7 +79,7 @@
         for reader in 0..8_u8 {
             server.request(reader, request);
         }
-        if let Some((_, part)) = server.poll(at(ms), Some(&newest), THIN) {
+        if let Some((_, part)) = server.poll(at(ms), Some(&newest), NARROW_LINK) {
             sent += part.bytes.len();
         }
     }
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn whoever_has_most_of_a_document_is_served_first() {
+fn the_reader_with_most_of_a_document_is_served_first() {
     let newest = document(1, 10_000);
     let mut server = DocumentServer::default();
     let request = |offset| DocumentRequest {
@@ -97,95 +100,113 @@
     };
     server.request(1_u8, request(0));
     server.request(2_u8, request(5_000));
-    let (first, _) = server.poll(at(0), Some(&newest), THIN).expect("a part");
+    let (first, _) = server
+        .poll(at(0), Some(&newest), NARROW_LINK)
+        .expect("a part");
     assert_eq!(first, 2);
 }
 
 #[test]
-fn a_version_that_was_begun_is_finished_though_a_newer_one_came() {
+fn a_version_in_transfer_is_finished_although_a_newer_one_arrives() {
     let (older, newer) = (document(1, 2_500), document(2, 2_500));
     let mut server = DocumentServer::default();
     let mut fetch = DocumentFetch::new(0);
     fetch.record_offer(1_u8, 1);
-    let (_, request) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
+    let (_, request) = fetch
+        .poll(at(0), 0, NO_TIMEOUT, NARROW_LINK)
+        .expect("a request");
     assert_eq!(
         fetch.receive_part(1, serve(&mut server, at(0), 9, request, &older)),
         None
     );
     for step in 1..3 {
         let now = at(step * 10);
-        let (_, request) = fetch.poll(now, 0, NO_PATIENCE, THIN).expect("a request");
-        let whole = fetch.receive_part(1, serve(&mut server, now, 9, request, &newer));
-        assert_eq!(whole, (step == 2).then(|| older.clone()));
+        let (_, request) = fetch
+            .poll(now, 0, NO_TIMEOUT, NARROW_LINK)
+            .expect("a request");
+        let document_received = fetch.receive_part(1, serve(&mut server, now, 9, request, &newer));
+        assert_eq!(document_received, (step == 2).then(|| older.clone()));
     }
 }
 
 #[test]
-fn a_source_that_has_gone_on_sends_its_version_from_the_beginning() {
+fn a_source_with_a_newer_version_sends_it_from_the_beginning() {
     let newer = document(5, 800);
     let mut server = DocumentServer::default();
     let mut fetch = DocumentFetch::new(0);
     fetch.record_offer(1_u8, 4);
-    let (_, request) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
+    let (_, request) = fetch
+        .poll(at(0), 0, NO_TIMEOUT, NARROW_LINK)
+        .expect("a request");
     assert_eq!(request.version, 4);
-    let whole = fetch.receive_part(1, serve(&mut server, at(0), 9, request, &newer));
-    assert_eq!(whole, Some(newer));
+    let document_received = fetch.receive_part(1, serve(&mut server, at(0), 9, request, &newer));
+    assert_eq!(document_received, Some(newer));
 }
 
 #[test]
-fn a_silent_source_is_left_for_another_one_and_what_came_is_kept() {
+fn a_silent_source_is_replaced_and_the_received_parts_are_kept() {
     let newest = document(3, 2_500);
     let mut server = DocumentServer::default();
     let mut fetch = DocumentFetch::new(0);
     fetch.record_offer(1_u8, 3);
     fetch.record_offer(2_u8, 3);
-    let (first, request) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
+    let (first, request) = fetch
+        .poll(at(0), 0, NO_TIMEOUT, NARROW_LINK)
+        .expect("a request");
     fetch.receive_part(first, serve(&mut server, at(0), 9, request, &newest));
-    let (same, _) = fetch.poll(at(5), 0, NO_PATIENCE, THIN).expect("a request");
+    let (same, _) = fetch
+        .poll(at(5), 0, NO_TIMEOUT, NARROW_LINK)
+        .expect("a request");
     assert_eq!(same, first);
     assert_eq!(
-        fetch.poll(at(300), 0, NO_PATIENCE, THIN),
+        fetch.poll(at(300), 0, NO_TIMEOUT, NARROW_LINK),
         None,
-        "it may still come"
+        "the answer may still come"
     );
     let (other, request) = fetch
-        .poll(at(500), 0, NO_PATIENCE, THIN)
+        .poll(at(500), 0, NO_TIMEOUT, NARROW_LINK)
         .expect("a request");
     assert_ne!(other, first);
     assert_eq!(request.offset, 1_000);
 }
 
 #[test]
-fn a_source_that_is_gone_is_left_at_once() {
+fn a_disconnected_source_is_replaced_at_once() {
     let mut fetch = DocumentFetch::new(0);
     fetch.record_offer(1_u8, 3);
     fetch.record_offer(2_u8, 3);
-    let (first, _) = fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
+    let (first, _) = fetch
+        .poll(at(0), 0, NO_TIMEOUT, NARROW_LINK)
+        .expect("a request");
     fetch.forget(first);
-    let (other, _) = fetch.poll(at(1), 0, NO_PATIENCE, THIN).expect("a request");
+    let (other, _) = fetch
+        .poll(at(1), 0, NO_TIMEOUT, NARROW_LINK)
+        .expect("a request");
     assert_ne!(other, first);
 }
 
 #[test]
-fn others_are_asked_only_when_the_store_has_had_its_time() {
+fn other_processes_are_asked_only_after_the_store_timeout() {
     let mut fetch = DocumentFetch::new(0);
-    let patience = Duration::from_millis(500);
+    let timeout = Duration::from_millis(500);
     fetch.record_offer(1_u8, 3);
-    assert_eq!(fetch.poll(at(100), 2, patience, THIN), None);
-    assert_eq!(fetch.next_tick(patience), Some(at(600)));
+    assert_eq!(fetch.poll(at(100), 2, timeout, NARROW_LINK), None);
+    assert_eq!(fetch.next_tick(timeout), Some(at(600)));
     assert_eq!(
-        fetch.poll(at(400), 3, patience, THIN),
+        fetch.poll(at(400), 3, timeout, NARROW_LINK),
         None,
-        "the store told of it"
+        "the store has delivered this version"
     );
-    assert_eq!(fetch.next_tick(patience), None);
+    assert_eq!(fetch.next_tick(timeout), None);
 }
 
 #[test]
-fn a_document_that_is_too_long_is_not_taken() {
+fn a_document_that_is_too_long_is_rejected() {
     let mut fetch = DocumentFetch::new(0);
     fetch.record_offer(1_u8, 3);
-    fetch.poll(at(0), 0, NO_PATIENCE, THIN).expect("a request");
+    fetch
+        .poll(at(0), 0, NO_TIMEOUT, NARROW_LINK)
+        .expect("a request");
     let part = DocumentPart {
         version: 3,
         offset: 0,
@@ -194,8 +215,8 @@
     };
     assert_eq!(fetch.receive_part(1, part), None);
     assert_eq!(
-        fetch.poll(at(10), 0, NO_PATIENCE, THIN),
+        fetch.poll(at(10), 0, NO_TIMEOUT, NARROW_LINK),
         None,
-        "it is not asked for at once"
+        "the document is not requested again at once"
     );
 }
--- a/crates/mastknot_core/tests/room_offers.rs
+++ b/crates/mastknot_core/tests/room_offers.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for one entry while tasks wait at several.
+//! Capacity that a side reserves for one entry while tasks wait at several.
 
 mod common;
 
@@ -8,8 +8,8 @@
     EndOfRun, EntryOrder, NotRunCause, RunId, SideReport, SideStatus, WaitingNeed,
 };
 
-/// An entry at which tasks of one core wait.
-fn heartbeat(heard: u64, waiting_millis: u32) -> EntryOrder {
+/// Returns a heartbeat of an entry at which tasks of one core wait.
+fn heartbeat(last_received: u64, waiting_millis: u32) -> EntryOrder {
     let need = WaitingNeed {
         rank: 0,
         required_capacity: cpu(waiting_millis),
@@ -18,14 +18,14 @@
     };
     let need = (waiting_millis > 0).then_some(need);
     EntryOrder::Heartbeat {
-        last_received: heard,
+        last_received: last_received,
         need,
         update: None,
     }
 }
 
-/// The reports to one entry.
-fn told(effects: &[AgentEffect], session: SessionId) -> Vec<&SideStatus> {
+/// Returns the status reports to one entry.
+fn reports_to(effects: &[AgentEffect], session: SessionId) -> Vec<&SideStatus> {
     let statuses = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Send {
             session: to,
@@ -36,8 +36,8 @@
     statuses.collect()
 }
 
-/// A full side with two entries, both of which have tasks waiting.
-fn crowded() -> Side {
+/// Returns a full side with two entries, both of which have tasks waiting.
+fn full_side() -> Side {
     let mut side = Side::ready();
     side.join(1_000, OTHER, "entry-2", 1);
     side.order(1_001, ENTRY, start(1, 2_000));
@@ -47,7 +47,7 @@
     side
 }
 
-/// The target refuses the order of a run, which gives its room back.
+/// Returns the target's refusal of the order of a run, which frees its capacity.
 fn late(run: RunId) -> AgentEvent {
     let outcome = OrderOutcome::Refused(OrderRefusal::Late);
     AgentEvent::OrderAnswered { run, outcome }
@@ -58,13 +58,14 @@
 }
 
 #[test]
-fn room_that_comes_free_is_told_to_one_entry_only() {
-    let mut side = crowded();
+fn freed_capacity_is_offered_to_one_entry_only() {
+    let mut side = full_side();
     let mut effects = end_first_run(&mut side, 1_110);
     effects.extend(side.step(1_116, AgentEvent::Tick));
     let offers = [ENTRY, OTHER].map(|session| {
-        let told = told(&effects, session);
-        told.iter()
+        let reports = reports_to(&effects, session);
+        reports
+            .iter()
             .filter(|status| status.free.cpu_millis > 0)
             .count()
     });
@@ -72,73 +73,77 @@
 }
 
 #[test]
-fn a_start_of_another_entry_does_not_take_what_is_kept() {
-    let mut side = crowded();
+fn a_start_of_another_entry_does_not_take_reserved_capacity() {
+    let mut side = full_side();
     end_first_run(&mut side, 1_110);
     let is_own = side.agent.free_capacity().cpu_millis == 2_000;
-    assert!(is_own, "the room is free until it is used");
+    assert!(is_own, "the capacity is free until it is used");
     let first = side.order(1_112, OTHER, start(7, 1_000));
     let second = side.order(1_113, ENTRY, start(8, 1_000));
     let (own, other) = (ordered(&second), ordered(&first));
     assert_eq!(
         own.len() + other.len(),
         1,
-        "only the entry that it is kept for may start"
+        "only the entry that it is reserved for may start"
     );
     let turned_away = EndOfRun::NotRun(NotRunCause::NoRoom);
     assert!(ends(&first).contains(&turned_away) != ends(&second).contains(&turned_away));
 }
 
 #[test]
-fn what_an_entry_leaves_of_its_offer_goes_to_the_next() {
-    let mut side = crowded();
+fn the_unused_rest_of_an_offer_goes_to_the_next_entry() {
+    let mut side = full_side();
     let mut effects = end_first_run(&mut side, 1_110);
     effects.extend(side.step(1_116, AgentEvent::Tick));
-    let kept_for = [ENTRY, OTHER]
+    let reserved_for = [ENTRY, OTHER]
         .into_iter()
         .find(|session| {
-            told(&effects, *session)
+            reports_to(&effects, *session)
                 .iter()
                 .any(|status| status.is_offer)
         })
         .expect("an offer");
-    let number = told(&effects, kept_for)[0].number;
-    let other = if kept_for == ENTRY { OTHER } else { ENTRY };
-    let effects = side.order(1_120, kept_for, heartbeat(number, 0));
-    let next = told(&effects, other);
+    let number = reports_to(&effects, reserved_for)[0].number;
+    let other = if reserved_for == ENTRY { OTHER } else { ENTRY };
+    let effects = side.order(1_120, reserved_for, heartbeat(number, 0));
+    let next = reports_to(&effects, other);
     assert!(next.iter().any(|status| status.is_offer), "{effects:?}");
 }
 
 #[test]
-fn an_offer_that_is_not_answered_ends() {
-    let mut side = crowded();
+fn an_unanswered_offer_expires() {
+    let mut side = full_side();
     end_first_run(&mut side, 1_110);
     side.step(1_116, AgentEvent::Tick);
     side.step(1_145, AgentEvent::Tick);
     let first = side.order(1_146, OTHER, start(7, 1_000));
     let second = side.order(1_146, ENTRY, start(8, 1_000));
     let started = ordered(&first).len() + ordered(&second).len();
-    assert!(started >= 1, "somebody may use it");
+    assert!(started >= 1, "an entry may use it");
 }
 
-/// With 55 entries and 240 sides three of four links of a side are on standby. Their entries tell with each
-/// heartbeat what waits there, but may start nothing: room that was kept for them stood empty, in turn for one
+/// With 55 entries and 240 sides, three of four links of a side are on standby. Their entries report waiting work
+/// with each heartbeat but may not start tasks: capacity that was reserved for them stayed idle, for one of them
 /// after the other, while all entries refused jobs.
 #[test]
-fn nothing_is_kept_for_an_entry_on_standby() {
+fn nothing_is_reserved_for_an_entry_on_standby() {
     let mut side = Side::ready();
     side.join(1_000, OTHER, "entry-2", 1);
     side.order(1_001, OTHER, EntryOrder::Standby);
     let mut effects = side.order(1_010, OTHER, heartbeat(1, 40_000));
     effects.extend(side.step(1_060, AgentEvent::Tick));
-    assert!(told(&effects, OTHER).iter().all(|status| !status.is_offer));
+    assert!(
+        reports_to(&effects, OTHER)
+            .iter()
+            .all(|status| !status.is_offer)
+    );
     let effects = side.order(1_061, ENTRY, start(7, 4_000));
     assert_eq!(ordered(&effects), [run(7)], "the whole target is free");
 }
 
 #[test]
-fn offers_follow_what_waits() {
-    let mut side = crowded();
+fn offers_follow_the_waiting_work() {
+    let mut side = full_side();
     side.order(1_101, OTHER, heartbeat(1, 40_000));
     let mut offers = [0_u32; 2];
     let mut now = 1_110;
@@ -147,13 +152,13 @@
         let mut effects = side.step(now, late(ending));
         now += 5;
         effects.extend(side.step(now, AgentEvent::Tick));
-        for (place, session) in [ENTRY, OTHER].into_iter().enumerate() {
-            let told = told(&effects, session);
-            let Some(offer) = told.iter().rfind(|status| status.is_offer) else {
+        for (index, session) in [ENTRY, OTHER].into_iter().enumerate() {
+            let reports = reports_to(&effects, session);
+            let Some(offer) = reports.iter().rfind(|status| status.is_offer) else {
                 continue;
             };
-            offers[place] += 1;
-            let need = if place == 0 { 4_000 } else { 40_000 };
+            offers[index] += 1;
+            let need = if index == 0 { 4_000 } else { 40_000 };
             side.order(now, session, start(job, 2_000));
             side.order(now, session, heartbeat(offer.number, need));
         }
--- a/crates/mastknot_core/tests/scheduler.rs
+++ b/crates/mastknot_core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The core of an entry: order, refusal, attempts, copies of a job.
+//! State machine of an entry: order of jobs, refusals, attempts, and duplicate submissions of a job.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use mastknot_core::job::{EndOfRun, EntryOrder, FailureCause, JobAnswer, JobId};
 use mastknot_core::scheduler::{CallerId, SchedulerEffect, SchedulerEvent, SessionId};
 
-/// The answer to a job whose task has failed as often as its queue allows.
+/// Answer to a job one task of which has failed as often as its queue allows.
 const TASK_FAILED: JobAnswer = JobAnswer::Failed {
     cause: FailureCause::TaskFailed,
 };
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn what_can_be_in_time_goes_before_what_cannot() {
+fn a_job_that_can_be_in_time_goes_before_one_that_cannot() {
     let mut entry = Entry::with_sides(&[1_600]);
     entry.submit(10, 1, job(1, 2, 100), 9_000);
     entry.status(200, 0, 0, 1, None, Vec::new());
     entry.submit(400, 2, job(2, 1, 100), 9_000);
-    // The first one has begun, but its objective (160 + 60 ms) has passed; the second one's has not.
+    // The first job has started, but its latency objective (160 + 60 ms) has passed; that of the second job has not.
     let effects = entry.status(401, 0, 1_600, 1, None, Vec::new());
     let first: Vec<JobId> = starts(&effects)
         .iter()
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn a_job_that_has_not_begun_is_refused_with_when_to_come_back() {
+fn a_job_that_has_not_started_is_refused_with_a_retry_time() {
     let mut entry = Entry::with_sides(&[0]);
     entry.submit(10, 1, job(1, 1, 100), 9_000);
-    // A quarter of its objective (160 + 60 ms).
+    // A quarter of the job's latency objective (160 + 60 ms) has not passed yet.
     assert_eq!(answers(&entry.status(60, 0, 0, 0, None, Vec::new())), []);
     let effects = entry.status(70, 0, 0, 0, None, Vec::new());
     let [(1, JobAnswer::Refused { retry_after })] = answers(&effects)[..] else {
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn a_job_that_may_have_begun_is_never_refused() {
+fn a_job_that_may_have_started_is_never_refused() {
     let mut entry = Entry::with_sides(&[1_600]);
     let begun = entry.submit(10, 1, job(1, 2, 100), 2_000);
-    assert_eq!(starts(&begun).len(), 1, "one of two tasks has room");
+    assert_eq!(starts(&begun).len(), 1, "one of two tasks finds capacity");
     let mut given = Vec::new();
     for ms in (60..2_100).step_by(50) {
         given.extend(answers(&entry.status(ms, 0, 0, 1, None, Vec::new())));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn attempt_numbers_rise_and_jump_when_a_target_calls_one_old() {
+fn attempt_numbers_rise_and_jump_when_a_target_reports_an_old_one() {
     use mastknot_core::job::NotRunCause;
     let mut entry = Entry::with_sides(&[16_000]);
     let effects = entry.submit(10, 1, job(1, 1, 100), 9_000);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_job_that_comes_again_is_one_job_and_answers_both_callers() {
+fn a_duplicate_submission_joins_the_job_and_both_callers_are_answered() {
     let mut entry = Entry::with_sides(&[16_000]);
     let effects = entry.submit(10, 1, job(1, 1, 100), 9_000);
     let (side, run) = starts(&effects)[0];
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_task_of_a_silent_side_starts_again_only_when_all_leases_have_run_out() {
+fn a_task_of_a_silent_side_starts_again_only_when_all_leases_have_expired() {
     let mut entry = Entry::with_sides(&[16_000]);
     let effects = entry.submit(10, 1, job(1, 1, 900), 9_000);
     assert_eq!(starts(&effects).len(), 1);
@@ -116,12 +116,12 @@
         let effects = entry.status(ms, 1, 16_000, 0, None, Vec::new());
         again.extend(starts(&effects).into_iter().map(|(side, _)| (ms, side)));
     }
-    // It was last heard at 0 ms: silence closes its link after 350, its runs are over after 600.
+    // The side last reported at 0 ms: after 350 ms of silence its link is closed, and its runs are over after 600 ms.
     assert_eq!(again, [(610, 1)]);
 }
 
 #[test]
-fn an_abandoned_job_stops_what_runs_and_is_forgotten() {
+fn the_runs_of_an_abandoned_job_are_stopped_and_the_job_is_forgotten() {
     let mut entry = Entry::with_sides(&[16_000]);
     let effects = entry.submit(10, 1, job(1, 1, 100), 9_000);
     let (side, run) = starts(&effects)[0];
