--- a/crates/mastknot_core/tests/profile_writing.rs
+++ b/crates/mastknot_core/tests/profile_writing.rs
@@ -81,24 +81,21 @@
 
 #[test]
 fn large_changes_need_a_write() {
-    let needs_slowdown_write = Some(ProfileUpdate::Slowdown);
+    let slowdown_update = Some(ProfileUpdate::Slowdown);
     assert_eq!(
         update_after(|own| own.slowdowns[0].log_ratio -= 0.25),
-        needs_slowdown_write
+        slowdown_update
     );
     assert_eq!(
         update_after(|own| own.run_times[0].log_run_time += 0.25),
-        needs_slowdown_write
+        slowdown_update
     );
     assert_eq!(
         update_after(|own| own.slowdowns.push(slowdown("new", 16, 0.0))),
-        needs_slowdown_write
+        slowdown_update
     );
     let hour = 60 * 60 * 1_000;
-    assert_eq!(
-        update_after(|own| own.written_ms += hour),
-        needs_slowdown_write
-    );
+    assert_eq!(update_after(|own| own.written_ms += hour), slowdown_update);
     let suspects = Some(ProfileUpdate::Suspect);
     assert_eq!(update_after(|own| own.suspects.push(suspect(2))), suspects);
     assert_eq!(update_after(|own| own.suspects.clear()), suspects);
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of room that is short: weighted max-min between halls whose needs are equally urgent.
+//! Shares of scarce capacity: weighted max-min fairness between halls whose needs are equally urgent.
 
 mod common;
 
@@ -20,12 +20,12 @@
 };
 use mastknot_core::types::{Hall, Incarnation, WallTime};
 
-/// What a piece of room is worth, in thousandths of a target times milliseconds.
-const PIECE: u64 = 100 * 60;
-/// So many pieces are given out.
-const PIECES: u64 = 6_000;
-/// What the pieces leave open.
-const WITHIN: f64 = 0.02;
+/// Cost of one piece of capacity, in thousandths of a target times milliseconds.
+const PIECE_COST: u64 = 100 * 60;
+/// Number of pieces that are distributed.
+const PIECE_COUNT: u64 = 6_000;
+/// Tolerance of the measured shares, which the granularity of the pieces requires.
+const TOLERANCE: f64 = 0.02;
 
 fn weights(revision: u64, halls: &[(&str, u32)]) -> ShareWeights {
     ShareWeights {
@@ -37,184 +37,189 @@
     }
 }
 
-/// What a hall asks for.
+/// Demand of a hall.
 #[derive(Clone, Copy, Debug)]
-struct Asking {
+struct HallDemand {
     hall: &'static str,
-    /// Its part of all pieces.
-    part: f64,
-    /// It can only use each such piece.
+    /// Share of all pieces that the hall requests.
+    share: f64,
+    /// The hall can use only every `each`-th piece.
     each: u64,
 }
 
-fn asks(hall: &'static str, part: f64) -> Asking {
+fn demand(hall: &'static str, share: f64) -> HallDemand {
     let each = 1;
-    Asking { hall, part, each }
+    HallDemand { hall, share, each }
 }
 
-/// Whether what a hall gets because others could not use it is charged.
+/// Whether a hall is charged for pieces that others could not use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lent {
     Charged,
     Forgotten,
 }
 
-/// Gives out pieces to whoever waits and is next; returns the part that each hall got.
-fn give_out(asking: &[Asking], weights: &ShareWeights, lent: Lent) -> Vec<f64> {
+/// Distributes pieces, each to the next hall among those that wait, and returns the share that each hall got.
+fn distribute(demands: &[HallDemand], weights: &ShareWeights, lent: Lent) -> Vec<f64> {
     let mut shares = HallShares::default();
-    let mut got = vec![0_u64; asking.len()];
-    for piece in 0..PIECES {
-        let owed = |place: usize| asking[place].part * (piece + 1) as f64 - got[place] as f64;
-        let waiting = (0..asking.len()).filter(|place| owed(*place) >= 1.0);
+    let mut got = vec![0_u64; demands.len()];
+    for piece in 0..PIECE_COUNT {
+        let owed = |index: usize| demands[index].share * (piece + 1) as f64 - got[index] as f64;
+        let waiting = (0..demands.len()).filter(|index| owed(*index) >= 1.0);
         let waiting: Vec<usize> = waiting.collect();
-        let halls: Vec<Hall> = asking.iter().map(|asking| asking.hall.into()).collect();
-        let time = |place: &usize| shares.virtual_time(&halls[*place]);
-        let first = waiting.iter().copied().min_by_key(time);
+        let halls: Vec<Hall> = demands.iter().map(|demands| demands.hall.into()).collect();
+        let virtual_time_of = |index: &usize| shares.virtual_time(&halls[*index]);
+        let first = waiting.iter().copied().min_by_key(virtual_time_of);
         let fitting = waiting.iter().copied();
-        let fitting = fitting.filter(|place| piece % asking[*place].each == 0);
-        let Some(next) = fitting.min_by_key(time) else {
+        let fitting = fitting.filter(|index| piece % demands[*index].each == 0);
+        let Some(next) = fitting.min_by_key(virtual_time_of) else {
             continue;
         };
-        shares.record_waiting(waiting.iter().map(|place| &halls[*place]));
+        shares.record_waiting(waiting.iter().map(|index| &halls[*index]));
         got[next] += 1;
         if first == Some(next) || lent == Lent::Charged {
-            shares.charge(&halls[next], PIECE, weights);
+            shares.charge(&halls[next], PIECE_COST, weights);
         }
     }
-    got.iter().map(|got| *got as f64 / PIECES as f64).collect()
+    got.iter()
+        .map(|got| *got as f64 / PIECE_COUNT as f64)
+        .collect()
 }
 
-fn assert_near(got: &[f64], wanted: &[f64]) {
+fn assert_near(got: &[f64], expected: &[f64]) {
     let is_near = got
         .iter()
-        .zip(wanted)
-        .all(|(got, wanted)| (got - wanted).abs() <= WITHIN);
-    assert!(is_near, "{got:.3?} in place of {wanted:.3?}");
+        .zip(expected)
+        .all(|(got, expected)| (got - expected).abs() <= TOLERANCE);
+    assert!(is_near, "{got:.3?} in place of {expected:.3?}");
 }
 
 #[test]
 fn a_hall_that_asks_for_less_than_its_share_gets_all_of_it() {
-    let asking = [asks("a", 4.0), asks("b", 0.2), asks("c", 0.3)];
-    let got = give_out(&asking, &ShareWeights::default(), Lent::Charged);
+    let demands = [demand("a", 4.0), demand("b", 0.2), demand("c", 0.3)];
+    let got = distribute(&demands, &ShareWeights::default(), Lent::Charged);
     assert_near(&got, &[0.5, 0.2, 0.3]);
 }
 
 #[test]
-fn what_is_left_is_shared_by_weight() {
-    let asking = [asks("a", 1.0), asks("b", 1.0), asks("c", 0.1)];
+fn the_rest_is_shared_by_weight() {
+    let demands = [demand("a", 1.0), demand("b", 1.0), demand("c", 0.1)];
     let weights = weights(1, &[("a", 200)]);
-    let got = give_out(&asking, &weights, Lent::Charged);
+    let got = distribute(&demands, &weights, Lent::Charged);
     assert_near(&got, &[0.6, 0.3, 0.1]);
 }
 
 #[test]
-fn the_lightest_and_the_heaviest_weight_count_whole() {
-    let asking = [asks("a", 1.0), asks("b", 1.0)];
+fn the_smallest_and_the_largest_weight_count_in_full() {
+    let demands = [demand("a", 1.0), demand("b", 1.0)];
     let weights = weights(1, &[("a", 1), ("b", ShareWeights::MAX)]);
-    let got = give_out(&asking, &weights, Lent::Charged);
+    let got = distribute(&demands, &weights, Lent::Charged);
     assert_near(&got, &[0.0, 1.0]);
-    assert!(got[0] > 0.0, "nobody is left out whole: {got:?}");
+    assert!(got[0] > 0.0, "no hall is left out completely: {got:?}");
 }
 
-/// What one hall can't use others get, and that counts: with half of the pieces too small for one of them, all still
-/// have the same.
+/// Pieces that one hall cannot use go to others and are charged: although half of the pieces are too small for one of
+/// the halls, all get equal shares.
 #[test]
-fn what_is_lent_is_charged() {
-    let picky = Asking {
+fn lent_capacity_is_charged() {
+    let restricted = HallDemand {
         each: 2,
-        ..asks("c", 1.0)
+        ..demand("c", 1.0)
     };
-    let asking = [asks("a", 1.0), asks("b", 1.0), picky];
+    let demands = [demand("a", 1.0), demand("b", 1.0), restricted];
     let third = 1.0 / 3.0;
-    let got = give_out(&asking, &ShareWeights::default(), Lent::Charged);
+    let got = distribute(&demands, &ShareWeights::default(), Lent::Charged);
     assert_near(&got, &[third; 3]);
-    let forgotten = give_out(&asking, &ShareWeights::default(), Lent::Forgotten);
+    let forgotten = distribute(&demands, &ShareWeights::default(), Lent::Forgotten);
     assert!(
-        (forgotten[2] - third).abs() > WITHIN,
-        "a share that forgets what is lent is noticed: {forgotten:?}"
+        (forgotten[2] - third).abs() > TOLERANCE,
+        "shares without the charge differ noticeably: {forgotten:?}"
     );
 }
 
-/// Pieces in a row that go to `hall` while both wait.
+/// Returns the number of consecutive pieces that go to `hall` while both halls wait.
 fn pieces_in_a_row(shares: &mut HallShares, hall: &Hall, other: &Hall) -> u64 {
     let even = ShareWeights::default();
     let mut pieces = 0;
     while shares.virtual_time(hall) <= shares.virtual_time(other) {
         shares.record_waiting([hall, other].into_iter());
-        shares.charge(hall, PIECE, &even);
+        shares.charge(hall, PIECE_COST, &even);
         pieces += 1;
     }
     pieces
 }
 
 #[test]
-fn an_idle_hall_lends_all_and_is_next_when_it_comes_back() {
+fn an_idle_hall_lends_all_and_is_next_when_it_returns() {
     let (busy, idle) = (Hall::from("busy"), Hall::from("idle"));
     let mut shares = HallShares::default();
     for _ in 0..10_000 {
         shares.record_waiting([&busy].into_iter());
-        shares.charge(&busy, PIECE, &ShareWeights::default());
+        shares.charge(&busy, PIECE_COST, &ShareWeights::default());
     }
     assert!(shares.virtual_time(&idle) < shares.virtual_time(&busy));
     let pieces = pieces_in_a_row(&mut shares, &idle, &busy);
-    assert!(pieces <= 2, "it has not saved up: {pieces} in a row");
+    assert!(
+        pieces <= 2,
+        "an idle hall saves up no credit: {pieces} in a row"
+    );
 }
 
-/// The target does 1,000 times 1,000 of work in a second.
+/// The target does 1,000 times 1,000 units of work per second.
 #[test]
-fn whoever_was_busy_alone_waits_a_second_at_most() {
+fn a_hall_that_was_busy_alone_waits_a_second_at_most() {
     let (busy, idle) = (Hall::from("busy"), Hall::from("idle"));
     let mut shares = HallShares::default();
     for _ in 0..10_000 {
-        shares.charge(&busy, PIECE, &ShareWeights::default());
+        shares.charge(&busy, PIECE_COST, &ShareWeights::default());
     }
     let pieces = pieces_in_a_row(&mut shares, &idle, &busy);
-    let work = pieces * PIECE;
+    let work = pieces * PIECE_COST;
     assert!((500_000..=1_010_000).contains(&work), "{work}");
 }
 
 #[test]
 fn a_hall_that_waits_in_vain_does_not_undo_the_shares_of_others() {
-    let never = Asking {
+    let never = HallDemand {
         each: u64::MAX,
-        ..asks("never", 1.0)
+        ..demand("never", 1.0)
     };
-    let asking = [asks("a", 1.0), asks("b", 1.0), never];
+    let demands = [demand("a", 1.0), demand("b", 1.0), never];
     let weights = weights(1, &[("a", 300)]);
-    let got = give_out(&asking, &weights, Lent::Charged);
+    let got = distribute(&demands, &weights, Lent::Charged);
     assert_near(&got, &[0.75, 0.25, 0.0]);
 }
 
 #[test]
-fn what_was_not_used_is_not_charged() {
+fn unused_capacity_is_not_charged() {
     let (hall, other) = (Hall::from("a"), Hall::from("b"));
     let even = ShareWeights::default();
     let mut shares = HallShares::default();
     for _ in 0..100 {
         shares.record_waiting([&hall, &other].into_iter());
-        shares.charge(&hall, PIECE, &even);
-        shares.refund(&hall, PIECE, &even);
+        shares.charge(&hall, PIECE_COST, &even);
+        shares.refund(&hall, PIECE_COST, &even);
     }
     assert_eq!(shares.virtual_time(&hall), shares.virtual_time(&other));
     assert_eq!(shares.tracked_halls(), 0);
 }
 
 #[test]
-fn the_state_is_bounded_whatever_halls_are_named() {
+fn the_state_is_bounded_for_any_number_of_halls() {
     let even = ShareWeights::default();
     let mut shares = HallShares::default();
     let mut totals = HallTotals::default();
-    for place in 0..10_000 {
-        let hall = Hall::from(format!("hall-{place}"));
-        shares.charge(&hall, PIECE, &even);
-        totals.record_started(&hall, PIECE, &[&hall], &even);
+    for index in 0..10_000 {
+        let hall = Hall::from(format!("hall-{index}"));
+        shares.charge(&hall, PIECE_COST, &even);
+        totals.record_started(&hall, PIECE_COST, &[&hall], &even);
     }
     assert!(shares.tracked_halls() <= HallShares::MAX_HALLS);
     assert!(totals.halls().len() <= HallShares::MAX_HALLS);
 }
 
 #[test]
-fn weights_that_change_count_from_then_on() {
+fn changed_weights_apply_from_then_on() {
     let halls = [Hall::from("a"), Hall::from("b")];
     let mut shares = HallShares::default();
     let mut give = |weights: &ShareWeights| {
@@ -222,7 +227,7 @@
         for _ in 0..1_000 {
             shares.record_waiting(halls.iter());
             let next = usize::from(shares.virtual_time(&halls[1]) < shares.virtual_time(&halls[0]));
-            shares.charge(&halls[next], PIECE, weights);
+            shares.charge(&halls[next], PIECE_COST, weights);
             got[next] += 1;
         }
         got[0] as f64 / 1_000.0
@@ -233,7 +238,7 @@
 }
 
 #[test]
-fn what_was_due_goes_by_the_weights_of_those_that_waited() {
+fn due_capacity_follows_the_weights_of_the_waiting_halls() {
     let (a, b) = (Hall::from("a"), Hall::from("b"));
     let weights = weights(1, &[("a", 300)]);
     let mut totals = HallTotals::default();
@@ -245,17 +250,17 @@
     assert_eq!((b.due, b.had), (250, 1_000));
 }
 
-/// What an entry tells of shares.
-fn telling(shares_room: bool, weights: ShareWeights) -> EntryUpdate {
+/// Returns the update in which an entry reports whether halls share capacity, and their weights.
+fn update_with(shares_capacity: bool, weights: ShareWeights) -> EntryUpdate {
     EntryUpdate {
-        shares_capacity: shares_room,
+        shares_capacity,
         shares: Arc::new(weights),
         ..EntryUpdate::default()
     }
 }
 
-/// Tasks of two cores wait at an entry.
-fn heartbeat(heard: u64, rank: u8, news: Option<EntryUpdate>) -> EntryOrder {
+/// Returns a heartbeat of an entry at which tasks of two cores wait.
+fn heartbeat(last_received: u64, rank: u8, update: Option<EntryUpdate>) -> EntryOrder {
     let need = WaitingNeed {
         rank,
         required_capacity: cpu(40_000),
@@ -264,9 +269,9 @@
     };
     let need = Some(need);
     EntryOrder::Heartbeat {
-        last_received: heard,
+        last_received,
         need,
-        update: news,
+        update,
     }
 }
 
@@ -279,13 +284,13 @@
     side.order(ms, session, EntryOrder::Welcome(welcome));
 }
 
-/// Two runs of 100 ms at a time, as their entries expect.
+/// Time between the ends of two runs: two runs of 100 ms, as their entries estimate, are under way at a time.
 const BETWEEN_ENDS_MS: u64 = 45;
 const REPORTED_AFTER_MS: u64 = 5;
 const THIRD: Link = Link(3);
 const LINKS: [Link; 3] = [ENTRY, OTHER, THIRD];
 
-/// The hall and the entry of each offer.
+/// Returns the hall and the entry of each offer.
 fn offered(effects: &[AgentEffect]) -> Vec<(String, String)> {
     let offered = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Decided(AgentDecision::Offered { entry, hall, .. }) => {
@@ -296,76 +301,72 @@
     offered.collect()
 }
 
-/// A full target whose runs end one after the other, and entries that use what they are offered at once.
-struct Crowd {
+/// Full target whose runs end one after the other, with entries that use each offer at once.
+struct ContendedTarget {
     side: Side,
     now: u64,
-    look: u64,
-    heard: BTreeMap<Link, u64>,
+    probe: u64,
+    last_received: BTreeMap<Link, u64>,
     running: Vec<RunId>,
     ends: u64,
     jobs: u64,
 }
 
-impl Crowd {
-    fn new(news: &EntryUpdate) -> Self {
-        let mut crowd = Self::empty(news);
+impl ContendedTarget {
+    fn new(update: &EntryUpdate) -> Self {
+        let mut contended = Self::empty(update);
         for _ in 0..2 {
-            crowd.start(ENTRY);
+            contended.start(ENTRY);
         }
         for link in LINKS {
-            crowd.tell(link, 0, None);
+            contended.send_need(link, 0, None);
         }
-        crowd
+        contended
     }
 
-    /// The same with nothing that runs or waits.
-    fn empty(news: &EntryUpdate) -> Self {
+    /// Returns the fixture without running or waiting tasks.
+    fn empty(update: &EntryUpdate) -> Self {
         let mut side = Side::ready();
         join_in(&mut side, 1_000, OTHER, "entry-2", "far");
         join_in(&mut side, 1_000, THIRD, "entry-3", "far");
-        let mut crowd = Self {
+        let mut contended = Self {
             side,
             now: 1_001,
-            look: 0,
-            heard: BTreeMap::new(),
+            probe: 0,
+            last_received: BTreeMap::new(),
             running: Vec::new(),
             ends: 0,
             jobs: 1,
         };
         for link in LINKS {
-            let news = Some(news.clone());
+            let update = Some(update.clone());
             let heartbeat = EntryOrder::Heartbeat {
                 last_received: 0,
                 need: None,
-                update: news,
+                update,
             };
-            crowd.order(link, heartbeat);
+            contended.order(link, heartbeat);
         }
-        crowd
+        contended
     }
 
     fn start(&mut self, link: Link) {
         let run = run(self.jobs);
         self.jobs += 1;
         let ordered = self.order(link, start(run.task.job.0, 2_000));
-        assert_eq!(
-            side::ordered(&ordered),
-            [run],
-            "what is offered can be used"
-        );
+        assert_eq!(side::ordered(&ordered), [run], "an offer can be used");
         let clock_ms = self.clock_ms();
         let outcome = OrderOutcome::Started { clock_ms };
         self.step(AgentEvent::OrderAnswered { run, outcome });
         self.running.push(run);
     }
 
-    fn tell(&mut self, link: Link, rank: u8, news: Option<EntryUpdate>) {
-        let heard = self.heard.get(&link).copied().unwrap_or_default();
-        self.order(link, heartbeat(heard, rank, news));
+    fn send_need(&mut self, link: Link, rank: u8, update: Option<EntryUpdate>) {
+        let last_received = self.last_received.get(&link).copied().unwrap_or_default();
+        self.order(link, heartbeat(last_received, rank, update));
     }
 
-    /// The target's clock of [`Side::ready`].
+    /// Returns the reading of the target's clock, which [`Side::ready`] sets 999 ms ahead of the side's.
     fn clock_ms(&self) -> u64 {
         self.now + 999
     }
@@ -377,20 +378,20 @@
 
     fn step(&mut self, event: AgentEvent) -> Vec<AgentEffect> {
         let effects = self.side.step(self.now, event);
-        self.look = side::probe_number(&effects).unwrap_or(self.look);
+        self.probe = side::probe_number(&effects).unwrap_or(self.probe);
         for effect in &effects {
             if let AgentEffect::Send {
                 session,
                 report: SideReport::Status(status),
             } = effect
             {
-                self.heard.insert(*session, status.number);
+                self.last_received.insert(*session, status.number);
             }
         }
         effects
     }
 
-    /// The oldest run does its work.
+    /// Completes the oldest run.
     fn end_oldest(&mut self) -> Vec<AgentEffect> {
         self.ends += 1;
         let finished = vec![TargetFinished {
@@ -409,14 +410,13 @@
             running: running.collect(),
             finished,
         };
-        let number = self.look;
+        let number = self.probe;
         let result = Ok(view);
         self.step(AgentEvent::Probed { number, result })
     }
 
-    /// Lets runs end, and each entry use what it is offered; returns how often each hall and each entry was offered
-    /// room.
-    fn play(&mut self, ranks: [u8; 3], ends: usize) -> BTreeMap<String, u32> {
+    /// Lets runs end and each entry use its offers; returns how often each hall and each entry was offered capacity.
+    fn run_rounds(&mut self, ranks: [u8; 3], ends: usize) -> BTreeMap<String, u32> {
         let mut offers: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..ends {
             self.now += BETWEEN_ENDS_MS;
@@ -431,7 +431,7 @@
                 if has_offer(&effects, link) {
                     self.start(link);
                 }
-                self.tell(link, rank, None);
+                self.send_need(link, rank, None);
             }
         }
         offers
@@ -449,9 +449,9 @@
 }
 
 #[test]
-fn halls_take_turns_whatever_entries_they_have() {
-    let mut crowd = Crowd::new(&telling(true, ShareWeights::default()));
-    let offers = crowd.play([0; 3], 120);
+fn halls_take_turns_for_any_number_of_entries() {
+    let mut contended = ContendedTarget::new(&update_with(true, ShareWeights::default()));
+    let offers = contended.run_rounds([0; 3], 120);
     let (near, far) = (offers["hall"], offers["far"]);
     assert!(near.abs_diff(far) <= 2, "{offers:?}");
     assert!(
@@ -463,8 +463,8 @@
 #[test]
 fn a_hall_of_twice_the_weight_has_twice_as_much() {
     let weights = weights(1, &[("hall", 200)]);
-    let mut crowd = Crowd::new(&telling(true, weights));
-    let offers = crowd.play([0; 3], 120);
+    let mut contended = ContendedTarget::new(&update_with(true, weights));
+    let offers = contended.run_rounds([0; 3], 120);
     assert!(
         offers["hall"].abs_diff(2 * offers["far"]) <= 6,
         "{offers:?}"
@@ -472,102 +472,102 @@
 }
 
 #[test]
-fn what_is_more_urgent_goes_first_and_is_charged() {
-    let mut crowd = Crowd::new(&telling(true, ShareWeights::default()));
-    let urgent = crowd.play([0, 1, 1], 40);
+fn more_urgent_work_goes_first_and_is_charged() {
+    let mut contended = ContendedTarget::new(&update_with(true, ShareWeights::default()));
+    let urgent = contended.run_rounds([0, 1, 1], 40);
     assert!(urgent["hall"] >= 38, "{urgent:?}");
-    crowd.tell(ENTRY, 1, None);
-    let equal = crowd.play([1; 3], 10);
+    contended.send_need(ENTRY, 1, None);
+    let equal = contended.run_rounds([1; 3], 10);
     assert!(
         !equal.contains_key("hall"),
-        "it had more than its share: {equal:?}"
+        "the hall had obtained more than its share: {equal:?}"
     );
 }
 
 #[test]
 fn entries_take_turns_where_halls_do_not_share() {
     let weights = weights(1, &[("hall", 10_000)]);
-    let mut crowd = Crowd::new(&telling(false, weights));
-    let offers = crowd.play([0; 3], 120);
+    let mut contended = ContendedTarget::new(&update_with(false, weights));
+    let offers = contended.run_rounds([0; 3], 120);
     assert!(
         offers["far"].abs_diff(2 * offers["hall"]) <= 6,
         "{offers:?}"
     );
-    assert_eq!(crowd.side.agent.hall_totals().count(), 0);
+    assert_eq!(contended.side.agent.hall_totals().count(), 0);
 }
 
 #[test]
-fn a_side_tells_what_halls_were_due_and_had() {
-    let mut crowd = Crowd::new(&telling(true, ShareWeights::default()));
-    crowd.play([0; 3], 120);
-    let totals = crowd.side.agent.hall_totals();
+fn a_side_reports_due_and_obtained_capacity_of_halls() {
+    let mut contended = ContendedTarget::new(&update_with(true, ShareWeights::default()));
+    contended.run_rounds([0; 3], 120);
+    let totals = contended.side.agent.hall_totals();
     let totals: Vec<(u64, u64)> = totals.map(|(_, total)| (total.due, total.had)).collect();
     let whole: u64 = totals.iter().map(|(_, had)| had).sum();
     for (due, had) in totals {
         assert!(
             had > 0 && due.abs_diff(had) * 20 <= whole,
-            "{due} due, {had} had"
+            "{due} due, {had} obtained"
         );
     }
 }
 
 #[test]
-fn a_side_goes_by_the_newest_weights_of_any_entry() {
-    let mut crowd = Crowd::new(&telling(true, weights(5, &[("hall", 200)])));
-    let older = telling(true, weights(4, &[("hall", 1)]));
-    crowd.tell(OTHER, 0, Some(older));
-    assert_eq!(crowd.side.agent.share_weights().revision, 5);
-    let newer = telling(true, weights(6, &[]));
-    crowd.tell(THIRD, 0, Some(newer));
-    assert_eq!(*crowd.side.agent.share_weights(), weights(6, &[]));
+fn a_side_applies_the_newest_weights_of_any_entry() {
+    let mut contended = ContendedTarget::new(&update_with(true, weights(5, &[("hall", 200)])));
+    let older = update_with(true, weights(4, &[("hall", 1)]));
+    contended.send_need(OTHER, 0, Some(older));
+    assert_eq!(contended.side.agent.share_weights().revision, 5);
+    let newer = update_with(true, weights(6, &[]));
+    contended.send_need(THIRD, 0, Some(newer));
+    assert_eq!(*contended.side.agent.share_weights(), weights(6, &[]));
 }
 
 #[test]
 fn a_start_that_the_target_refuses_costs_nothing() {
     let mut side = Side::ready();
-    let news = telling(true, ShareWeights::default());
-    side.order(1_010, ENTRY, heartbeat(0, 0, Some(news)));
-    let time = |side: &Side| side.agent.hall_shares().virtual_time(&Hall::from("hall"));
-    let before = time(&side);
+    let update = update_with(true, ShareWeights::default());
+    side.order(1_010, ENTRY, heartbeat(0, 0, Some(update)));
+    let virtual_time_of = |side: &Side| side.agent.hall_shares().virtual_time(&Hall::from("hall"));
+    let before = virtual_time_of(&side);
     side.order(1_011, ENTRY, start(1, 2_000));
-    assert!(time(&side) > before);
+    assert!(virtual_time_of(&side) > before);
     let outcome = OrderOutcome::Refused(OrderRefusal::NoRoom);
     let run = run(1);
     side.step(1_012, AgentEvent::OrderAnswered { run, outcome });
-    assert_eq!(time(&side), before);
+    assert_eq!(virtual_time_of(&side), before);
 }
 
-/// The guess of each start is 100 ms, and a target's half is taken: the first run is over before its time, the second one
-/// after it.
+/// The estimate of each start is 100 ms, and half of the target is required: the first run ends before its estimate,
+/// the second one after it.
 #[test]
 fn a_run_costs_the_time_that_it_took() {
     for (after_ms, is_cheaper) in [(20, true), (200, false)] {
-        let mut crowd = Crowd::empty(&telling(true, ShareWeights::default()));
+        let mut contended = ContendedTarget::empty(&update_with(true, ShareWeights::default()));
         let hall = Hall::from("hall");
-        crowd.start(ENTRY);
-        let guessed = crowd.side.agent.hall_shares().virtual_time(&hall);
-        crowd.now += after_ms;
-        crowd.end_oldest();
-        let took = crowd.side.agent.hall_shares().virtual_time(&hall);
+        contended.start(ENTRY);
+        let estimated_time = contended.side.agent.hall_shares().virtual_time(&hall);
+        contended.now += after_ms;
+        contended.end_oldest();
+        let actual_time = contended.side.agent.hall_shares().virtual_time(&hall);
         assert_eq!(
-            took < guessed,
+            actual_time < estimated_time,
             is_cheaper,
-            "{after_ms} ms: {guessed}, {took}"
+            "{after_ms} ms: {estimated_time}, {actual_time}"
         );
     }
 }
 
-/// The news of the newest welcome or heartbeat.
-fn told(effects: &[SchedulerEffect]) -> Option<EntryUpdate> {
-    let mut news = effects.iter().filter_map(|effect| match effect {
+/// Returns the update in the last welcome or heartbeat.
+fn sent_update(effects: &[SchedulerEffect]) -> Option<EntryUpdate> {
+    let mut updates = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send { order, .. } => match order {
             EntryOrder::Welcome(welcome) => Some(welcome.update.clone()),
-            EntryOrder::Heartbeat { update: news, .. } => news.clone(),
+            EntryOrder::Heartbeat { update, .. } => update.clone(),
             _ => None,
         },
         _ => None,
     });
-    news.next_back()
+    updates.next_back()
 }
 
 fn submit(scheduler: &mut JobScheduler, ms: u64, is_ranked: bool) -> Vec<SchedulerEffect> {
@@ -597,7 +597,7 @@
     JobScheduler::new(settings)
 }
 
-fn greet(scheduler: &mut JobScheduler, ms: u64) -> EntryUpdate {
+fn send_hello(scheduler: &mut JobScheduler, ms: u64) -> EntryUpdate {
     let hello = SideHello {
         side: "side-0".into(),
         incarnation: Incarnation(1),
@@ -610,7 +610,7 @@
         reports: vec![SideReport::Hello(hello)],
     };
     let effects = scheduler.step(entry::at(ms), event);
-    told(&effects).expect("a welcome")
+    sent_update(&effects).expect("a welcome")
 }
 
 #[test]
@@ -618,15 +618,15 @@
     for (is_ranked, is_on) in [(true, true), (true, false), (false, true)] {
         let mut scheduler = scheduler(is_on);
         assert!(
-            !greet(&mut scheduler, 1).shares_capacity,
-            "no job has come yet"
+            !send_hello(&mut scheduler, 1).shares_capacity,
+            "no job has arrived yet"
         );
         submit(&mut scheduler, 10, is_ranked);
         assert_eq!(
-            greet(&mut scheduler, 20).shares_capacity,
+            send_hello(&mut scheduler, 20).shares_capacity,
             is_ranked && is_on
         );
-        let much_later = greet(&mut scheduler, 120_000);
+        let much_later = send_hello(&mut scheduler, 120_000);
         assert!(!much_later.shares_capacity, "no ranked job for two minutes");
     }
 }
@@ -639,14 +639,14 @@
         scheduler.step(entry::at(ms), SchedulerEvent::ShareWeights(known));
     }
     assert_eq!(
-        *greet(&mut scheduler, 4).shares,
+        *send_hello(&mut scheduler, 4).shares,
         weights(7, &[("hall", 70)])
     );
     assert_eq!(scheduler.share_weights().revision, 7);
 }
 
 #[test]
-fn linked_sides_hear_of_weights_with_the_next_heartbeat() {
+fn linked_sides_receive_weights_with_the_next_heartbeat() {
     let mut entry = Entry::with_sides(&[16_000]);
     let known = Arc::new(weights(3, &[("hall", 50)]));
     let event = SchedulerEvent::ShareWeights(Arc::clone(&known));
@@ -654,5 +654,8 @@
     let next = entry.scheduler.next_tick().expect("a heartbeat");
     assert!(next <= entry::at(200));
     effects.extend(entry.scheduler.step(next, SchedulerEvent::Tick));
-    assert_eq!(told(&effects).map(|news| news.shares), Some(known));
+    assert_eq!(
+        sent_update(&effects).map(|update| update.shares),
+        Some(known)
+    );
 }
--- a/crates/mastknot_core/tests/side_learning.rs
+++ b/crates/mastknot_core/tests/side_learning.rs
@@ -1,5 +1,5 @@
-//! Which entries a side knows: told by digests, asked for from one entry at a time. And when a woken link
-//! takes starts.
+//! How a side learns the list of entries, which entries announce by digest and the side requests from one of them at
+//! a time; and when a reactivated link accepts starts.
 
 mod common;
 
@@ -20,8 +20,8 @@
     (1..=count).map(entry).collect()
 }
 
-/// A heartbeat that tells which list the entry has.
-fn telling(list: &[KnownEntry]) -> EntryOrder {
+/// Returns a heartbeat that carries the digest of the entry's list.
+fn heartbeat_with(list: &[KnownEntry]) -> EntryOrder {
     EntryOrder::Heartbeat {
         last_received: 0,
         need: None,
@@ -32,8 +32,8 @@
     }
 }
 
-/// The links on which the side asked for the list.
-fn asked(effects: &[AgentEffect]) -> Vec<SessionId> {
+/// Returns the links on which the side requested the list.
+fn list_requests(effects: &[AgentEffect]) -> Vec<SessionId> {
     let sessions = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Send {
             session,
@@ -52,54 +52,67 @@
 }
 
 #[test]
-fn a_list_that_several_entries_tell_of_is_asked_for_once() {
+fn a_list_that_several_entries_announce_is_requested_once() {
     let mut side = side_with_three_entries();
     let list = entries(3);
-    assert_eq!(asked(&side.order(1_010, ENTRY, telling(&list))), [ENTRY]);
-    assert_eq!(asked(&side.order(1_011, OTHER, telling(&list))), []);
+    assert_eq!(
+        list_requests(&side.order(1_010, ENTRY, heartbeat_with(&list))),
+        [ENTRY]
+    );
+    assert_eq!(
+        list_requests(&side.order(1_011, OTHER, heartbeat_with(&list))),
+        []
+    );
     let effects = side.order(1_020, ENTRY, EntryOrder::Entries(list.clone()));
     assert!(effects.contains(&AgentEffect::DialEntries(list.clone())));
-    assert_eq!(asked(&side.order(1_021, THIRD, telling(&list))), []);
+    assert_eq!(
+        list_requests(&side.order(1_021, THIRD, heartbeat_with(&list))),
+        []
+    );
 }
 
 #[test]
-fn an_entry_that_keeps_an_old_list_is_not_believed_against_the_others() {
+fn an_old_list_of_one_entry_does_not_override_the_others() {
     let mut side = side_with_three_entries();
     let (old, new) = (entries(2), entries(3));
-    side.order(1_010, ENTRY, telling(&new));
-    side.order(1_010, OTHER, telling(&new));
+    side.order(1_010, ENTRY, heartbeat_with(&new));
+    side.order(1_010, OTHER, heartbeat_with(&new));
     side.order(1_020, ENTRY, EntryOrder::Entries(new.clone()));
-    let effects = side.order(1_030, THIRD, telling(&old));
-    assert_eq!(asked(&effects), []);
+    let effects = side.order(1_030, THIRD, heartbeat_with(&old));
+    assert_eq!(list_requests(&effects), []);
 }
 
-/// An entry on standby tells of a new list only after seconds: what it told before says nothing against the others.
+/// An entry on standby announces a new list only after seconds: its earlier digest does not count against those of
+/// the others.
 #[test]
-fn entries_on_standby_do_not_outvote_those_whose_word_is_current() {
+fn entries_on_standby_do_not_outvote_those_with_current_digests() {
     let mut side = side_with_three_entries();
     let (old, new) = (entries(2), entries(3));
-    side.order(1_010, OTHER, telling(&old));
-    side.order(1_010, THIRD, telling(&old));
+    side.order(1_010, OTHER, heartbeat_with(&old));
+    side.order(1_010, THIRD, heartbeat_with(&old));
     side.order(1_020, OTHER, EntryOrder::Entries(old));
     side.order(1_030, OTHER, EntryOrder::Standby);
     side.order(1_030, THIRD, EntryOrder::Standby);
-    assert_eq!(asked(&side.order(1_040, ENTRY, telling(&new))), [ENTRY]);
+    assert_eq!(
+        list_requests(&side.order(1_040, ENTRY, heartbeat_with(&new))),
+        [ENTRY]
+    );
 }
 
-/// An entry that is cut off from the store learns versions from sides; on standby it would hear of them only with the
-/// next heartbeat, after seconds.
+/// An entry that is disconnected from the store learns configuration versions from sides; on standby it would learn
+/// of them only with the next heartbeat, seconds later.
 #[test]
-fn an_entry_on_standby_hears_at_once_of_a_version() {
+fn an_entry_on_standby_is_notified_at_once_of_a_version() {
     let mut side = side_with_three_entries();
     side.order(1_010, OTHER, EntryOrder::Standby);
-    let news = EntryUpdate {
+    let update = EntryUpdate {
         config_version: 7,
         ..EntryUpdate::default()
     };
     let offer = EntryOrder::Heartbeat {
         last_received: 1,
         need: None,
-        update: Some(news),
+        update: Some(update),
     };
     side.order(1_020, ENTRY, offer);
     side.step(1_230, AgentEvent::Tick);
@@ -126,7 +139,7 @@
     assert_eq!(versions.collect::<Vec<u64>>(), [7]);
 }
 
-/// 55 entries would each greet 240 sides in the moment in which a fleet starts.
+/// When a fleet starts, each of 55 entries would otherwise exchange hellos with 240 sides at the same moment.
 #[test]
 fn of_many_entries_only_the_likely_ones_are_dialed_at_once() {
     let few = DialOrder::new(&"side-1".into(), &entries(16));
@@ -141,19 +154,19 @@
 fn another_entry_is_asked_when_the_first_one_is_silent_or_gone() {
     let mut side = side_with_three_entries();
     let list = entries(3);
-    side.order(1_010, ENTRY, telling(&list));
-    side.order(1_010, OTHER, telling(&list));
+    side.order(1_010, ENTRY, heartbeat_with(&list));
+    side.order(1_010, OTHER, heartbeat_with(&list));
     let link_down = AgentEvent::LinkDown { session: ENTRY };
-    assert_eq!(asked(&side.step(1_020, link_down)), [OTHER]);
-    side.order(1_030, THIRD, telling(&list));
-    // The silent one's lease ends as well; the third is still there.
-    let heartbeat = telling(&list);
+    assert_eq!(list_requests(&side.step(1_020, link_down)), [OTHER]);
+    side.order(1_030, THIRD, heartbeat_with(&list));
+    // The lease of the silent entry ends as well; the third entry is still linked.
+    let heartbeat = heartbeat_with(&list);
     let effects = side.order(1_200, THIRD, heartbeat);
-    assert_eq!(asked(&effects), [], "the answer may still come");
+    assert_eq!(list_requests(&effects), [], "the answer may still arrive");
 }
 
 #[test]
-fn a_woken_link_takes_a_start_only_after_a_report_was_confirmed() {
+fn a_reactivated_link_accepts_a_start_only_after_a_report_was_acknowledged() {
     let mut side = Side::ready();
     side.order(1_010, ENTRY, EntryOrder::Standby);
     let effects = side.order(1_800, ENTRY, EntryOrder::Activate);
@@ -164,12 +177,12 @@
         } => Some(status.clone()),
         _ => None,
     });
-    let report = report.expect("a woken link is told at once how the target stands");
+    let report = report.expect("a status is sent at once on a reactivated link");
     assert!(!report.is_standby);
 
     let effects = side.order(1_801, ENTRY, start(1, 1_000));
     let is_order = |effect: &AgentEffect| matches!(effect, AgentEffect::Order { .. });
-    assert!(!effects.iter().any(is_order), "no lease counts yet");
+    assert!(!effects.iter().any(is_order), "no lease is valid yet");
     let ended = effects.iter().any(|effect| match effect {
         AgentEffect::Send {
             report: SideReport::Status(status),
@@ -180,7 +193,7 @@
             .any(|ended| ended.end == EndOfRun::NotRun(NotRunCause::Late)),
         _ => false,
     });
-    assert!(ended, "the entry learns that it has not run");
+    assert!(ended, "the entry learns that the start was not carried out");
 
     let confirm = EntryOrder::Heartbeat {
         last_received: report.number,
@@ -192,9 +205,10 @@
     assert!(effects.iter().any(is_order));
 }
 
-/// The lease of a link on standby is seconds old: with it the new link was closed at once, and made a third time.
+/// The lease of a link on standby is seconds old: under it the new link used to be closed at once and opened a third
+/// time.
 #[test]
-fn a_link_that_is_made_anew_from_standby_stands() {
+fn a_link_that_replaces_one_on_standby_stays_open() {
     let mut side = Side::ready();
     side.order(1_010, ENTRY, EntryOrder::Standby);
     side.step(3_000, AgentEvent::LinkDown { session: ENTRY });
@@ -205,7 +219,7 @@
 }
 
 #[test]
-fn a_link_on_standby_outlives_the_lease_and_not_the_silence() {
+fn a_link_on_standby_outlives_the_lease_but_not_the_silence_timeout() {
     let mut side = Side::ready();
     side.order(1_010, ENTRY, EntryOrder::Standby);
     let close = AgentEffect::Close { session: ENTRY };
--- a/crates/mastknot_core/tests/target_crashes.rs
+++ b/crates/mastknot_core/tests/target_crashes.rs
@@ -1,4 +1,4 @@
-//! How a side tells a crash of its target from other ways in which runs are lost.
+//! How a side distinguishes a crash of its target from other ways in which runs are lost.
 
 mod common;
 
@@ -26,12 +26,12 @@
     }
 }
 
-fn looked(side: &mut Side, ms: u64, number: u64, failure: ProbeFailure) -> Vec<AgentEffect> {
+fn probed(side: &mut Side, ms: u64, number: u64, failure: ProbeFailure) -> Vec<AgentEffect> {
     let result = Err(failure);
     side.step(ms, AgentEvent::Probed { number, result })
 }
 
-/// The target answers that it has started a job's run.
+/// Reports the target's answer that it has started a job's run.
 fn started(side: &mut Side, ms: u64, job: u64) {
     let clock_ms = ms + 1_000;
     let outcome = OrderOutcome::Started { clock_ms };
@@ -39,7 +39,7 @@
     side.step(ms, AgentEvent::OrderAnswered { run, outcome });
 }
 
-/// A side whose target runs two jobs, and the number of the look that is under way.
+/// Returns a side whose target runs two jobs, and the number of the probe that is under way.
 fn busy() -> (Side, u64) {
     let mut side = Side::ready();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
@@ -53,7 +53,7 @@
 #[test]
 fn a_crash_names_what_ran_there_the_youngest_first() {
     let (mut side, number) = busy();
-    let effects = looked(&mut side, 1_041, number, ProbeFailure::Refused);
+    let effects = probed(&mut side, 1_041, number, ProbeFailure::Refused);
     assert_eq!(ends(&effects), [EndOfRun::Crashed, EndOfRun::Crashed]);
     let crash = TargetCrash {
         target: TargetId::named("target-1"),
@@ -65,17 +65,17 @@
 }
 
 #[test]
-fn a_life_in_place_of_the_known_one_says_that_it_crashed() {
+fn another_incarnation_in_place_of_the_known_one_is_a_crash() {
     let (mut side, number) = busy();
-    let effects = looked(&mut side, 1_041, number, ProbeFailure::OtherIncarnation);
+    let effects = probed(&mut side, 1_041, number, ProbeFailure::OtherIncarnation);
     assert_eq!(ends(&effects), [EndOfRun::Crashed, EndOfRun::Crashed]);
     assert_eq!(crashes(&effects).len(), 1);
 }
 
-/// A start that comes to a target that has just died is refused at once. Counted with looks that got no answer, it made the
-/// target look silent, and its crash said nothing of the task that had brought it about.
+/// A start that reaches a target that has just died is refused at once. When such refusals were counted with
+/// unanswered probes, the target appeared silent, and its crash gave no evidence about the task that had caused it.
 #[test]
-fn a_refused_start_is_no_silence() {
+fn a_refused_start_does_not_count_as_silence() {
     for is_refused_first in [true, false] {
         let (mut side, number) = busy();
         side.order(1_040, ENTRY, start(3, 1_000));
@@ -86,22 +86,22 @@
         let effects = match is_refused_first {
             true => side.step(1_041, refused),
             false => {
-                let effects = looked(&mut side, 1_041, number, ProbeFailure::Silent);
+                let effects = probed(&mut side, 1_041, number, ProbeFailure::Silent);
                 side.step(1_041, refused);
                 effects
             }
         };
-        let number = probe_number(&effects).expect("the target is looked at again at once");
-        let effects = looked(&mut side, 1_042, number, ProbeFailure::Refused);
+        let number = probe_number(&effects).expect("the target is probed again at once");
+        let effects = probed(&mut side, 1_042, number, ProbeFailure::Refused);
         let crash = crashes(&effects).pop().expect("the target has crashed");
         assert!(!crash.was_silent, "refused first: {is_refused_first}");
         assert_eq!(crash.runs, [crashed(2, 10), crashed(1, 40)]);
     }
 }
 
-/// It was dead at some time since its last word, long before that showed.
+/// The target died at some time after its last message, long before that became visible.
 #[test]
-fn a_crash_that_only_the_next_call_shows_has_no_known_time() {
+fn a_crash_that_only_the_next_call_reveals_has_no_known_time() {
     let (mut side, _) = busy();
     side.order(1_132, ENTRY, start(3, 1_000));
     let refused = AgentEvent::OrderAnswered {
@@ -109,8 +109,8 @@
         outcome: OrderOutcome::Unreachable,
     };
     let effects = side.step(1_133, refused);
-    let number = probe_number(&effects).expect("the target is looked at again at once");
-    let effects = looked(&mut side, 1_134, number, ProbeFailure::Refused);
+    let number = probe_number(&effects).expect("the target is probed again at once");
+    let effects = probed(&mut side, 1_134, number, ProbeFailure::Refused);
     let crash = crashes(&effects).pop().expect("the target has crashed");
     assert!(crash.was_silent);
     assert_eq!(crash.runs, [crashed(2, 1), crashed(1, 31)]);
@@ -130,17 +130,21 @@
         ..report("target-1", 2)
     };
     draining.step(1_035, AgentEvent::TargetReported(leaving));
-    let effects = looked(&mut draining, 1_041, number, ProbeFailure::Refused);
+    let effects = probed(&mut draining, 1_041, number, ProbeFailure::Refused);
     assert_eq!(ends(&effects), [EndOfRun::Lost, EndOfRun::Lost]);
-    assert_eq!(crashes(&effects), [], "its last word was lost");
+    assert_eq!(
+        crashes(&effects),
+        [],
+        "the report that it has left was lost"
+    );
 }
 
-/// Lets the target be silent until its hold has run out; returns when that is, and the last effects.
-fn fall_silent(side: &mut Side, first_look: u64) -> (u64, Vec<AgentEffect>) {
-    let mut number = Some(first_look);
+/// Keeps the target silent until its hold has expired; returns that time and the last effects.
+fn fall_silent(side: &mut Side, first_probe: u64) -> (u64, Vec<AgentEffect>) {
+    let mut number = Some(first_probe);
     for ms in (1_101..2_500).step_by(10) {
         let effects = match number.take() {
-            Some(number) => looked(side, ms, number, ProbeFailure::Silent),
+            Some(number) => probed(side, ms, number, ProbeFailure::Silent),
             None => side.step(ms, AgentEvent::Tick),
         };
         number = probe_number(&effects);
@@ -148,11 +152,11 @@
             return (ms, effects);
         }
     }
-    panic!("the hold never ran out");
+    panic!("the hold never expired");
 }
 
 #[test]
-fn silence_is_no_crash_until_another_life_is_there() {
+fn silence_is_not_a_crash_until_another_incarnation_answers() {
     let (mut side, number) = busy();
     let (ms, effects) = fall_silent(&mut side, number);
     assert_eq!(crashes(&effects), []);
@@ -163,19 +167,19 @@
             break;
         }
         effects = match probe_number(&effects) {
-            Some(number) => looked(&mut side, ms + later * 10, number, ProbeFailure::Refused),
+            Some(number) => probed(&mut side, ms + later * 10, number, ProbeFailure::Refused),
             None => side.step(ms + later * 10, AgentEvent::Tick),
         };
         seen = crashes(&effects);
     }
-    let crash = seen.first().expect("the known life is over");
+    let crash = seen.first().expect("the known incarnation has ended");
     assert_eq!(crash.target, TargetId::named("target-1"));
-    // It was last heard at 1,032 ms: nothing says how long the runs went on after that.
+    // The target last answered at 1,032 ms: it is not known how long the runs continued after that.
     assert_eq!(crash.runs, [crashed(2, 1), crashed(1, 31)]);
 }
 
 #[test]
-fn a_target_that_was_silent_for_a_while_has_not_crashed() {
+fn a_target_that_answers_after_a_silence_has_not_crashed() {
     let (mut side, number) = busy();
     let (ms, effects) = fall_silent(&mut side, number);
     let mut effects = effects;
@@ -190,8 +194,12 @@
     side.join(ms + 1_001, ENTRY, "entry-1", 1);
     let effects = side.order(ms + 1_002, ENTRY, start(3, 1_000));
     let number = probe_number(&effects).expect("a probe is under way");
-    let effects = looked(&mut side, ms + 1_012, number, ProbeFailure::Refused);
+    let effects = probed(&mut side, ms + 1_012, number, ProbeFailure::Refused);
     let jobs = crashes(&effects).into_iter().flat_map(|crash| crash.runs);
     let jobs: Vec<u64> = jobs.map(|row| row.run.task.job.0).collect();
-    assert_eq!(jobs, [3], "what the silence cost is no part of the crash");
+    assert_eq!(
+        jobs,
+        [3],
+        "runs that the silence ended are not part of the crash"
+    );
 }
--- a/crates/mastknot_core/tests/target_lives.rs
+++ b/crates/mastknot_core/tests/target_lives.rs
@@ -1,4 +1,5 @@
-//! Reports of a target that come late: of a life that is over, or older than one of the same life.
+//! Late reports of a target: from an incarnation that has ended, or older than another report of the same
+//! incarnation.
 
 mod common;
 
@@ -20,8 +21,13 @@
     target.id.name.to_string()
 }
 
-/// Answers the look under way: the life that it asks for is there and runs this.
-fn alive(side: &mut Side, ms: u64, effects: &[AgentEffect], running: &[u64]) -> Vec<AgentEffect> {
+/// Answers the pending probe: the requested incarnation is alive and runs these jobs.
+fn answer_alive(
+    side: &mut Side,
+    ms: u64,
+    effects: &[AgentEffect],
+    running: &[u64],
+) -> Vec<AgentEffect> {
     let number = probe_number(effects).expect("a probe is under way");
     let running = running.iter().map(|job| TargetRunning {
         run: run(*job),
@@ -36,60 +42,64 @@
     side.step(ms, AgentEvent::Probed { number, result })
 }
 
-/// Answers the look under way: another life is there.
-fn over(side: &mut Side, ms: u64, effects: &[AgentEffect]) -> Vec<AgentEffect> {
+/// Answers the pending probe: another incarnation runs in place of the requested one.
+fn answer_other_incarnation(side: &mut Side, ms: u64, effects: &[AgentEffect]) -> Vec<AgentEffect> {
     let number = probe_number(effects).expect("a probe is under way");
     let result = Err(ProbeFailure::OtherIncarnation);
     side.step(ms, AgentEvent::Probed { number, result })
 }
 
-/// The known life ends at 1,000 ms and another one is there, whose clock is read.
-fn replace_life(side: &mut Side, target: &str) {
+/// Ends the known incarnation at 1,000 ms and reads the clock of the one that replaces it.
+fn replace_incarnation(side: &mut Side, target: &str) {
     let effects = side.step(1_000, reported(report(target, 1)));
-    let effects = over(side, 1_001, &effects);
-    alive(side, 1_001, &effects, &[]);
+    let effects = answer_other_incarnation(side, 1_001, &effects);
+    answer_alive(side, 1_001, &effects, &[]);
 }
 
-/// A cut held a report back while its sender crashed and the next life came: the side counted all that ran there
-/// as lost, and entries started it again beside the runs that went on.
+/// A partition delayed a report while its sender crashed and the next incarnation started: the side used to count all
+/// runs of that incarnation as lost, and entries started them again beside the runs that continued.
 #[test]
-fn a_late_report_of_an_ended_life_loses_no_run() {
+fn a_late_report_of_an_ended_incarnation_loses_no_run() {
     let mut side = Side::ready();
-    replace_life(&mut side, "target-2");
+    replace_incarnation(&mut side, "target-2");
     side.order(1_002, ENTRY, start(1, 1_000));
     let effects = side.step(1_010, reported(report("target-1", 9)));
     assert_eq!(ends(&effects), []);
-    assert_eq!(probe_number(&effects), None, "it is known to be over");
+    assert_eq!(
+        probe_number(&effects),
+        None,
+        "the incarnation is known to have ended"
+    );
     assert_eq!(target_name(&side), "target-2");
     assert_eq!(side.agent.runs().len(), 1);
 }
 
-/// A side that has just started knows neither life: the target itself tells which one is there.
+/// A side that has just started knows neither incarnation; a probe of the target shows which one runs.
 #[test]
-fn a_late_report_of_an_unknown_life_is_settled_by_a_look() {
+fn a_late_report_of_an_unknown_incarnation_is_resolved_by_a_probe() {
     let mut side = Side::ready();
     side.order(1_001, ENTRY, start(1, 1_000));
     let effects = side.step(1_010, reported(report("target-0", 9)));
     assert_eq!(ends(&effects), []);
-    let effects = alive(&mut side, 1_011, &effects, &[1]);
+    let effects = answer_alive(&mut side, 1_011, &effects, &[1]);
     assert_eq!(ends(&effects), []);
     assert_eq!(side.agent.runs().len(), 1);
     assert_eq!(target_name(&side), "target-1");
 }
 
 #[test]
-fn the_next_life_takes_over_as_soon_as_the_target_says_so() {
+fn the_next_incarnation_takes_over_as_soon_as_a_probe_shows_it() {
     let mut side = Side::ready();
     side.order(1_001, ENTRY, start(1, 1_000));
     let effects = side.step(1_010, reported(report("target-2", 1)));
-    let effects = over(&mut side, 1_011, &effects);
+    let effects = answer_other_incarnation(&mut side, 1_011, &effects);
     assert_eq!(ends(&effects), [EndOfRun::Crashed]);
     assert_eq!(target_name(&side), "target-2");
 }
 
-/// After a crash that nobody notices otherwise the next life must not wait for ever.
+/// After a crash that nothing else reveals, the next incarnation must not wait forever.
 #[test]
-fn a_silent_life_without_runs_gives_way() {
+fn a_silent_incarnation_without_runs_is_replaced() {
     let mut side = Side::ready();
     let mut effects = side.step(1_010, reported(report("target-2", 1)));
     for ms in [1_100, 1_250, 1_400, 1_550] {
@@ -103,9 +113,9 @@
     assert_eq!(target_name(&side), "target-2");
 }
 
-/// A target that refuses connections for a moment is no other one.
+/// A target that refuses connections for a moment is still the same incarnation.
 #[test]
-fn a_target_that_refused_a_connection_is_taken_again() {
+fn a_target_that_refused_a_connection_is_accepted_again() {
     let mut side = Side::ready();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
     let number = probe_number(&effects).expect("a probe is under way");
@@ -116,9 +126,9 @@
     assert_eq!(target_name(&side), "target-1");
 }
 
-/// A target that had said that it leaves was given work again by a report from before.
+/// A target that had reported that it was leaving used to get work again because of an older report.
 #[test]
-fn a_late_report_of_the_same_life_does_not_undo_a_newer_one() {
+fn a_late_report_of_the_same_incarnation_does_not_undo_a_newer_one() {
     let mut side = Side::ready();
     let leaving = TargetReport {
         is_draining: true,
@@ -129,23 +139,23 @@
     assert_eq!(side.agent.condition(), TargetCondition::Draining);
 }
 
-/// Reports of three lives in random orders, with the third one there: what runs on it is never given up, and it is
-/// the target in the end.
+/// Reports of three incarnations arrive in random orders while the third one runs: its runs are never given up, and
+/// it is the known target in the end.
 #[test]
-fn no_order_of_arrival_brings_an_older_life_back() {
+fn no_order_of_arrival_brings_an_older_incarnation_back() {
     for seed in 0..200 {
         let mut order: Vec<u64> = (0..9).collect();
         order.shuffle(&mut StdRng::seed_from_u64(seed));
         let mut side = Side::ready();
-        replace_life(&mut side, "target-3");
+        replace_incarnation(&mut side, "target-3");
         side.order(1_002, ENTRY, start(1, 1_000));
         let mut ms = 1_003;
-        for place in order {
-            let late = report(&format!("target-{}", place / 3 + 1), place);
+        for number in order {
+            let late = report(&format!("target-{}", number / 3 + 1), number);
             let effects = side.step(ms, reported(late));
             assert_eq!(ends(&effects), [], "seed {seed}");
             if probe_number(&effects).is_some() {
-                let effects = alive(&mut side, ms + 1, &effects, &[1]);
+                let effects = answer_alive(&mut side, ms + 1, &effects, &[1]);
                 assert_eq!(ends(&effects), [], "seed {seed}");
             }
             ms += 2;
--- a/crates/mastknot_core/tests/target_pace.rs
+++ b/crates/mastknot_core/tests/target_pace.rs
@@ -1,4 +1,4 @@
-//! How soon a slow target is known, and what it is given then.
+//! How soon a side detects that its target is slow, and how much work the target then gets.
 
 mod common;
 
@@ -8,20 +8,20 @@
 use mastknot_core::job::{EndOfRun, KnownEntry, SideReport};
 use mastknot_core::scheduler::SchedulerEvent;
 
-/// The pace in the last report to an entry.
-fn told_pace(effects: &[AgentEffect]) -> Option<u32> {
-    let mut paces = effects.iter().filter_map(|effect| match effect {
+/// Returns the slowdown in the last report to an entry, in percent.
+fn reported_slowdown(effects: &[AgentEffect]) -> Option<u32> {
+    let mut slowdowns = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Send {
             report: SideReport::Status(status),
             ..
         } => Some(status.slowdown_percent),
         _ => None,
     });
-    paces.next_back()
+    slowdowns.next_back()
 }
 
-/// Starts a task of 100 ms, lists it with `percent` done after 60 ms, and returns the pace told then.
-fn pace_after_60_ms(percent: u8) -> u32 {
+/// Starts a task of 100 ms, lists it as `percent` done after 60 ms, and returns the slowdown that is then reported.
+fn slowdown_after_60_ms(percent: u8) -> u32 {
     let mut side = Side::ready();
     let started = side.order(1_001, ENTRY, start(1, 1_000));
     let outcome = OrderOutcome::Started { clock_ms: 2_001 };
@@ -45,14 +45,14 @@
     let result = Ok(view);
     let mut effects = side.step(1_061, AgentEvent::Probed { number, result });
     effects.extend(side.step(1_150, AgentEvent::Tick));
-    told_pace(&effects).expect("a report is due")
+    reported_slowdown(&effects).expect("a report is due")
 }
 
 #[test]
-fn a_slow_target_is_known_by_the_progress_of_its_runs_before_any_ends() {
-    assert!(pace_after_60_ms(12) > 450);
-    let sound = pace_after_60_ms(60);
-    assert!((90..=110).contains(&sound), "{sound}");
+fn a_slow_target_is_detected_by_the_progress_of_its_runs_before_any_ends() {
+    assert!(slowdown_after_60_ms(12) > 450);
+    let healthy = slowdown_after_60_ms(60);
+    assert!((90..=110).contains(&healthy), "{healthy}");
 }
 
 fn known_entry(number: u16) -> KnownEntry {
@@ -62,20 +62,20 @@
     }
 }
 
-/// The pace of each of three targets, in percent.
-const PACES: [u32; 3] = [100, 110, 460];
+/// Slowdown of each of three targets, in percent.
+const SLOWDOWNS: [u32; 3] = [100, 110, 460];
 
-/// The runs that a new job gets at the slow target; all of its runs end at once.
+/// Submits a job and returns the number of its runs on the slow target; all of its runs end at once.
 fn tries_at_slow_target(entry: &mut Entry, ms: u64) -> usize {
-    for (side, pace) in PACES.into_iter().enumerate() {
-        entry.status_with_slowdown(ms, side as u64, pace, Vec::new());
+    for (side, slowdown) in SLOWDOWNS.into_iter().enumerate() {
+        entry.status_with_slowdown(ms, side as u64, slowdown, Vec::new());
     }
     let effects = entry.submit(ms, ms, job(ms, 12, 100), 9_000);
     let starts = starts(&effects);
     for (side, run) in &starts {
-        let pace = PACES[*side as usize];
+        let slowdown = SLOWDOWNS[*side as usize];
         let ends = vec![ended(*run, EndOfRun::Done)];
-        entry.status_with_slowdown(ms + 50, *side, pace, ends);
+        entry.status_with_slowdown(ms + 50, *side, slowdown, ends);
     }
     starts.iter().filter(|(side, _)| *side == 2).count()
 }
@@ -93,6 +93,6 @@
         assert!(tries <= 1, "{tries} at {ms} ms");
         tried.extend((tries == 1).then_some(ms));
     }
-    // One of two entries, so each two seconds.
+    // Two entries share the attempts, so each makes one every two seconds.
     assert_eq!(tried, [2_000, 4_000]);
 }
--- a/crates/mastknot_core/tests/target_rebirths.rs
+++ b/crates/mastknot_core/tests/target_rebirths.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their old names.
+//! Targets that restart under the same name.
 
 mod common;
 
@@ -9,38 +9,41 @@
 };
 use mastknot_core::job::{EndOfRun, TargetCondition, TargetId};
 
+/// Start time of the first incarnation, in milliseconds.
 const FIRST: u64 = 5_000;
+/// Start time of the second incarnation, in milliseconds.
 const SECOND: u64 = 9_000;
-/// The clock of the first life when this process starts.
+/// Clock reading of the first incarnation when the side starts, in milliseconds.
 const OLD_CLOCK_MS: u64 = 500_000;
 
-fn reported(born_ms: u64, number: u64) -> AgentEvent {
+fn reported(started_at_ms: u64, number: u64) -> AgentEvent {
     let mut report = report("target", number);
-    report.profile.id = TargetId::started_at("target", born_ms);
+    report.profile.id = TargetId::started_at("target", started_at_ms);
     AgentEvent::TargetReported(report)
 }
 
-fn view(born_ms: u64, clock_ms: u64, running: &[u64]) -> TargetView {
+fn view(started_at_ms: u64, clock_ms: u64, running: &[u64]) -> TargetView {
     let running = running.iter().map(|job| TargetRunning {
         run: run(*job),
         percent: 10,
     });
     TargetView {
         clock_ms,
-        started_at_ms: born_ms,
+        started_at_ms,
         running: running.collect(),
         finished: Vec::new(),
     }
 }
 
-/// Answers the look under way.
+/// Answers the pending probe.
 fn answer(side: &mut Side, ms: u64, effects: &[AgentEffect], view: TargetView) -> Vec<AgentEffect> {
     let number = probe_number(effects).expect("a probe is under way");
     let result = Ok(view);
     side.step(ms, AgentEvent::Probed { number, result })
 }
 
-/// A side that knows the first life, whose clock is far ahead of what a new one shows, linked to one entry at 1,000 ms.
+/// Returns a side that knows the first incarnation, whose clock is far ahead of that of a new one, linked to one
+/// entry at 1,000 ms.
 fn side() -> Side {
     let mut side = Side::unknown();
     let effects = side.step(0, AgentEvent::Tick);
@@ -57,7 +60,7 @@
     side.step(ms, AgentEvent::OrderAnswered { run, outcome })
 }
 
-fn look_token(effects: &[AgentEffect]) -> Option<u64> {
+fn probe_token(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         AgentEffect::Probe { token, .. } => Some(*token),
         _ => None,
@@ -71,10 +74,10 @@
     })
 }
 
-/// The numbers of a life's reports start anew: taken for late ones they left the target unknown for as long as the life
-/// before had lasted.
+/// The report numbers of a new incarnation start at 1. When its reports were taken for late ones, the target stayed
+/// unknown for as long as the earlier incarnation had lasted.
 #[test]
-fn the_next_life_counts_though_its_numbers_are_lower() {
+fn the_next_incarnation_is_accepted_although_its_report_numbers_are_lower() {
     let mut side = side();
     side.order(1_001, ENTRY, start(1, 1_000));
     started(&mut side, 1_002, 1, OLD_CLOCK_MS + 998);
@@ -85,10 +88,11 @@
     assert_eq!(target.id, TargetId::started_at("target", SECOND));
 }
 
-/// The first report did not say when its life began, and the looks do. Taken for one of another life, each later report
-/// counted as late, and the side never heard that the target had less room or was leaving.
+/// The first report leaves out the start time of its incarnation, while probes carry it. When each later report was
+/// taken for one of another incarnation and thus for a late one, the side never learned that the target had less
+/// capacity or was leaving.
 #[test]
-fn a_life_whose_first_report_left_out_its_birth_is_the_known_one() {
+fn an_incarnation_whose_first_report_left_out_its_start_time_is_the_known_one() {
     let mut side = Side::unknown();
     let effects = side.step(0, AgentEvent::Tick);
     let effects = answer(&mut side, 1, &effects, view(FIRST, OLD_CLOCK_MS, &[]));
@@ -103,14 +107,14 @@
     let effects = side.step(400, reported(SECOND, 1));
     assert!(
         probe_number(&effects).is_some(),
-        "another life is asked for"
+        "the other incarnation is probed"
     );
     assert_eq!(side.agent.target(), Some(&shrunk.profile));
 }
 
-/// No report has come, and the look itself shows it.
+/// No report has arrived; the probe itself shows the restart.
 #[test]
-fn a_look_tells_that_another_life_answers() {
+fn a_probe_shows_that_another_incarnation_answers() {
     let mut side = side();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
     let effects = match probe_number(&effects) {
@@ -123,9 +127,9 @@
     assert!(side.agent.target().is_none());
 }
 
-/// The ends of the next life are numbered from 1: none of them counts as noted.
+/// The ends of runs on the next incarnation are numbered from 1: none of them counts as already recorded.
 #[test]
-fn the_first_ends_of_the_next_life_are_not_forgotten() {
+fn the_first_ends_on_the_next_incarnation_are_not_ignored() {
     let mut side = side();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
     let finished = vec![TargetFinished {
@@ -144,23 +148,24 @@
     assert_eq!(last_seen(&effects), Some(0));
 }
 
-/// An order of the life before may still arrive: the first look at the next life fences it.
+/// An order meant for the earlier incarnation may still arrive: the first probe of the next incarnation fences it.
 #[test]
-fn the_next_life_is_looked_at_with_a_higher_token() {
+fn the_next_incarnation_is_probed_with_a_higher_token() {
     let mut side = side();
     let effects = side.step(1_010, reported(SECOND, 1));
-    let before = look_token(&effects).expect("a probe is under way");
+    let before = probe_token(&effects).expect("a probe is under way");
     let effects = answer(&mut side, 1_011, &effects, view(SECOND, 20, &[]));
-    let first = look_token(&effects).expect("a probe is under way");
+    let first = probe_token(&effects).expect("a probe is under way");
     assert!(first > before, "{first}, before {before}");
     let effects = answer(&mut side, 1_012, &effects, view(SECOND, 21, &[]));
     assert!(ordered(&effects).is_empty());
     assert_eq!(side.agent.condition(), TargetCondition::Ready);
 }
 
-/// What the next life took before the first look is stopped, whether it is listed or its order has no answer yet.
+/// Runs that the next incarnation accepted before the first probe are stopped, whether they are listed or their order
+/// has no answer yet.
 #[test]
-fn runs_that_the_next_life_may_have_are_not_called_over() {
+fn runs_that_the_next_incarnation_may_have_are_not_reported_as_ended() {
     let mut side = side();
     side.order(1_001, ENTRY, start(1, 1_000));
     side.order(1_001, ENTRY, start(2, 1_000));
@@ -172,7 +177,7 @@
     assert_eq!(
         ends(&effects),
         [EndOfRun::Crashed],
-        "the third alone is over"
+        "only the third run is over"
     );
     let mut stops = stopped(&effects);
     stops.sort();
@@ -180,9 +185,10 @@
     assert_eq!(side.agent.runs().len(), 2);
 }
 
-/// Such orders carried a hold by the old clock: nothing more is started before the longest hold is over.
+/// Orders of that kind carried a hold by the old clock: nothing else starts before the longest possible hold has
+/// expired.
 #[test]
-fn nothing_starts_under_a_hold_by_the_clock_of_the_life_before() {
+fn nothing_starts_under_a_hold_by_the_clock_of_the_earlier_incarnation() {
     let mut side = side();
     side.order(1_001, ENTRY, start(1, 1_000));
     let effects = side.step(1_010, reported(SECOND, 1));
@@ -191,9 +197,10 @@
     assert_eq!(side.agent.condition(), TargetCondition::Absent);
 }
 
-/// A clock that has fallen shows that another life took the order; its reading is not mistaken for the known life's.
+/// A clock that went back shows that another incarnation accepted the order; its reading is not mistaken for that of
+/// the known one.
 #[test]
-fn an_answer_by_a_clock_that_starts_anew_asks_for_a_look() {
+fn an_answer_by_a_restarted_clock_triggers_a_probe() {
     let mut side = side();
     side.order(1_001, ENTRY, start(1, 1_000));
     let effects = started(&mut side, 1_002, 1, 25);
@@ -203,15 +210,15 @@
     assert_eq!(stopped(&effects), [run(1)]);
 }
 
-/// A side that restarts knows of no token, while the fence is one by the clock of an earlier life: it would wait for the
-/// clock to get there.
+/// A restarted side knows no token, while the fence is a token by the clock of an earlier incarnation; the side would
+/// wait until the target's clock reaches it.
 #[test]
 fn a_fence_far_above_the_clock_is_passed_soon() {
     let mut side = Side::unknown();
     let mut effects = side.step(0, AgentEvent::Tick);
     let fence = OLD_CLOCK_MS;
     for ms in 1..40 {
-        let token = look_token(&effects).expect("a probe is under way");
+        let token = probe_token(&effects).expect("a probe is under way");
         if token >= fence {
             return;
         }
@@ -220,7 +227,7 @@
         let result = Err(ProbeFailure::Fenced { clock_ms });
         effects = side.step(ms, AgentEvent::Probed { number, result });
     }
-    panic!("the fence still stands");
+    panic!("the fence was never passed");
 }
 
 #[test]
@@ -236,23 +243,23 @@
         let outcome = OrderOutcome::Refused(OrderRefusal::Fenced { clock_ms });
         let run = run(job);
         let effects = side.step(1_002, AgentEvent::OrderAnswered { run, outcome });
-        tokens.extend(look_token(&effects));
+        tokens.extend(probe_token(&effects));
     }
     assert!(tokens.iter().all(|token| *token < 2 * OLD_CLOCK_MS));
 }
 
-/// A report of an earlier life of the same name comes late, whatever its number.
+/// A report of an earlier incarnation of the same name arrives late, with any number.
 #[test]
-fn a_report_of_an_earlier_life_changes_nothing() {
+fn a_report_of_an_earlier_incarnation_changes_nothing() {
     for number in [1, 300, 301, 9_999] {
         let mut side = side();
         let effects = side.step(1_010, reported(SECOND, 1));
         let effects = answer(&mut side, 1_011, &effects, view(SECOND, 20, &[]));
         answer(&mut side, 1_012, &effects, view(SECOND, 21, &[]));
         side.order(1_013, ENTRY, start(1, 1_000));
-        for born_ms in [0, 1, FIRST] {
-            let effects = side.step(1_014, reported(born_ms, number));
-            assert_eq!(ends(&effects), [], "{born_ms}, {number}");
+        for started_at_ms in [0, 1, FIRST] {
+            let effects = side.step(1_014, reported(started_at_ms, number));
+            assert_eq!(ends(&effects), [], "{started_at_ms}, {number}");
         }
         let target = side.agent.target().expect("a target is known");
         assert_eq!(target.id.started_at_ms, SECOND);
@@ -260,9 +267,9 @@
     }
 }
 
-/// Two lives between two reports: the one that answers is there in the end.
+/// Two restarts between two reports: the incarnation that answers is the known one in the end.
 #[test]
-fn two_lives_within_a_heartbeat_end_with_the_last() {
+fn after_two_restarts_within_a_heartbeat_the_last_incarnation_is_known() {
     let mut side = side();
     let effects = side.step(1_010, reported(SECOND, 1));
     let effects = answer(&mut side, 1_011, &effects, view(SECOND + 40, 5, &[]));
@@ -276,9 +283,9 @@
     assert_eq!(target.id.started_at_ms, SECOND + 40);
 }
 
-/// A word of leaving that is held up until the next life is there does not end that.
+/// A message that an incarnation is leaving, delayed until the next incarnation runs, does not end the latter.
 #[test]
-fn a_late_word_of_leaving_ends_no_other_life() {
+fn a_late_leave_message_ends_no_other_incarnation() {
     let mut side = side();
     let effects = side.step(1_010, reported(SECOND, 1));
     let effects = answer(&mut side, 1_011, &effects, view(SECOND, 20, &[]));
@@ -295,9 +302,9 @@
     assert!(side.agent.target().is_none());
 }
 
-/// What the store remembers of an earlier life names no target once a later one has answered.
+/// A profile of an earlier incarnation from the store does not set the target once a later incarnation has answered.
 #[test]
-fn a_remembered_life_that_is_over_is_not_taken() {
+fn a_remembered_incarnation_that_has_ended_is_not_used() {
     let mut side = Side::unknown();
     let effects = side.step(0, AgentEvent::Tick);
     let effects = answer(&mut side, 1, &effects, view(SECOND, 20, &[]));
@@ -311,9 +318,9 @@
     assert!(side.agent.target().is_some());
 }
 
-/// A draining life that ends and starts again is ready at once.
+/// A target that was draining when it ended is ready as soon as it has restarted.
 #[test]
-fn the_next_life_of_a_target_that_left_takes_work() {
+fn the_next_incarnation_of_a_target_that_left_accepts_work() {
     let mut side = side();
     let leaving = TargetReport {
         is_draining: true,
@@ -330,9 +337,10 @@
     assert_eq!(side.agent.condition(), TargetCondition::Ready);
 }
 
-/// Nothing listened when a look came to the target, and its next life was there for the order after that.
+/// Nothing listened when a probe reached the target, and the next incarnation was running when the order after it
+/// arrived.
 #[test]
-fn a_refused_look_does_not_end_what_was_ordered_after_it() {
+fn a_refused_probe_does_not_end_runs_that_were_ordered_after_it() {
     let mut side = side();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
     started(&mut side, 1_002, 1, OLD_CLOCK_MS + 998);
@@ -351,5 +359,8 @@
     assert_eq!(stopped(&effects), [run(2)]);
     let over = 1_012 + 1_031;
     side.step(over, AgentEvent::Tick);
-    assert!(side.agent.runs().is_empty(), "no life came back");
+    assert!(
+        side.agent.runs().is_empty(),
+        "no incarnation was found again"
+    );
 }
--- a/crates/mastknot_core/tests/unanswered_stops.rs
+++ b/crates/mastknot_core/tests/unanswered_stops.rs
@@ -1,4 +1,4 @@
-//! What a side tells of runs that go on although they are over for their entries.
+//! Decisions that a side records about runs that continue although they are over for their entries.
 
 mod common;
 
@@ -6,19 +6,19 @@
 use mastknot_core::agent::{AgentDecision, AgentEffect, AgentEvent, TargetRunning, TargetView};
 use mastknot_core::job::EntryOrder;
 
-/// What was decided about stops and unclaimed runs.
-fn told(effects: &[AgentEffect]) -> Vec<AgentDecision> {
+/// Returns the decisions about unanswered stops and unclaimed runs.
+fn stop_decisions(effects: &[AgentEffect]) -> Vec<AgentDecision> {
     let decided = effects.iter().filter_map(|effect| match effect {
         AgentEffect::Decided(decision) => Some(decision.clone()),
         _ => None,
     });
-    let is_wanted = |decision: &AgentDecision| {
+    let is_about_stops = |decision: &AgentDecision| {
         matches!(
             decision,
             AgentDecision::StopUnanswered { .. } | AgentDecision::Unclaimed { .. }
         )
     };
-    decided.filter(is_wanted).collect()
+    decided.filter(is_about_stops).collect()
 }
 
 fn stop_answered(is_acknowledged: bool) -> AgentEvent {
@@ -28,7 +28,7 @@
     }
 }
 
-/// A look's answer that lists these jobs' runs as going on.
+/// Answers the pending probe with a list of these jobs' runs as under way.
 fn answer_listing(
     side: &mut Side,
     ms: u64,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_stop_without_an_acknowledgement_is_told_with_how_often_and_since_when() {
+fn a_stop_without_an_acknowledgement_is_reported_with_its_count_and_duration() {
     let mut side = Side::ready();
     side.order(1_001, ENTRY, start(1, 1_000));
     side.order(1_010, ENTRY, EntryOrder::Stop(run(1)));
@@ -62,15 +62,15 @@
         times,
         since_ms,
     };
-    assert_eq!(told(&first), [unanswered(1, 50)]);
-    assert_eq!(told(&second), [unanswered(2, 150)]);
+    assert_eq!(stop_decisions(&first), [unanswered(1, 50)]);
+    assert_eq!(stop_decisions(&second), [unanswered(2, 150)]);
     let acknowledged = side.step(1_161, stop_answered(true));
     let late = side.step(1_162, stop_answered(false));
-    assert_eq!(told(&[acknowledged, late].concat()), []);
+    assert_eq!(stop_decisions(&[acknowledged, late].concat()), []);
 }
 
 #[test]
-fn a_run_that_no_entry_has_is_told_once_and_stopped_with_each_look() {
+fn an_unclaimed_run_is_reported_once_and_stopped_with_each_probe() {
     let mut side = Side::ready();
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
     let first = answer_listing(&mut side, 1_020, &effects, &[1, 2]);
@@ -81,9 +81,9 @@
         run: run(2),
         percent: 40,
     };
-    assert_eq!(told(&first), std::slice::from_ref(&unclaimed));
-    assert_eq!(told(&second), []);
+    assert_eq!(stop_decisions(&first), std::slice::from_ref(&unclaimed));
+    assert_eq!(stop_decisions(&second), []);
     assert_eq!(stopped(&second), [run(2)]);
-    assert_eq!(told(&gone), []);
-    assert_eq!(told(&again), [unclaimed]);
+    assert_eq!(stop_decisions(&gone), []);
+    assert_eq!(stop_decisions(&again), [unclaimed]);
 }
--- a/crates/mastknot_core/tests/unequal_targets.rs
+++ b/crates/mastknot_core/tests/unequal_targets.rs
@@ -1,4 +1,4 @@
-//! Which of two targets of different speed a task goes to.
+//! Choice between two targets of different speed for a task.
 
 mod common;
 
@@ -14,14 +14,14 @@
 const FAST: u64 = 0;
 const SLOW: u64 = 1;
 const WRITTEN: u64 = 1_700_000_000_000;
-/// A task takes so long on the middle of both targets, in milliseconds.
+/// Time that a task takes on average over both targets, in milliseconds.
 const WORK_MS: u64 = 400;
-/// Callers wait for longer than any target takes.
-const PATIENT_MS: u64 = 2_000;
-/// They don't wait for as long as the slow target takes.
-const HASTY_MS: u64 = 520;
+/// Time that callers wait, in milliseconds: longer than either target takes.
+const LONG_WAIT_MS: u64 = 2_000;
+/// Time that callers wait, in milliseconds: less than the slow target takes.
+const SHORT_WAIT_MS: u64 = 520;
 
-fn pace(class: &str, log_ratio: f64) -> LearnedSlowdown {
+fn slowdown(class: &str, log_ratio: f64) -> LearnedSlowdown {
     LearnedSlowdown {
         queue: Arc::from("queue"),
         class: Arc::from(class),
@@ -30,31 +30,32 @@
     }
 }
 
-fn tell(entry: &mut Entry, side: u64, class: &str, free: u32, hidden: u32) {
+fn report(entry: &mut Entry, side: u64, class: &str, free: u32, withheld: u32) {
     let target = TargetProfile {
         labels: vec![Arc::from(class)],
         ..target_profile(side)
     };
-    let hidden = Capacity {
-        cpu_millis: hidden,
+    let withheld = Capacity {
+        cpu_millis: withheld,
         ..Capacity::default()
     };
     let status = SideStatus {
         target: Some(target),
-        withheld: hidden,
+        withheld,
         ..entry.next_status(free)
     };
     entry.reports(1, side, vec![SideReport::Status(status)]);
 }
 
-/// An entry that knows how fast its two targets are; of the fast one some room is its own, and some is hidden from it.
-fn entry(free: u32, hidden: u32) -> Entry {
+/// Returns an entry that knows the slowdown of its two targets; `free` of the fast one's capacity is offered to it
+/// and `withheld` is kept back from it.
+fn entry(free: u32, withheld: u32) -> Entry {
     let mut entry = Entry::with_sides(&[16_000, 16_000]);
-    tell(&mut entry, FAST, "fast", free, hidden);
-    tell(&mut entry, SLOW, "slow", 16_000, 0);
+    report(&mut entry, FAST, "fast", free, withheld);
+    report(&mut entry, SLOW, "slow", 16_000, 0);
     let profile = LearnedProfile {
         written_ms: WRITTEN,
-        slowdowns: vec![pace("fast", -0.3), pace("slow", 0.3)],
+        slowdowns: vec![slowdown("fast", -0.3), slowdown("slow", 0.3)],
         ..LearnedProfile::default()
     };
     let event = SchedulerEvent::Learned {
@@ -65,28 +66,28 @@
     entry
 }
 
-/// Where a task goes whose caller waits for so long.
-fn place(mut entry: Entry, left_ms: u64) -> u64 {
+/// Returns the side of a task whose caller waits for this time.
+fn side_of_start(mut entry: Entry, left_ms: u64) -> u64 {
     let effects = entry.submit_ranked(10, 1, job(1, 1, WORK_MS), left_ms);
     starts(&effects)[0].0
 }
 
 #[test]
 fn a_full_fast_target_leaves_work_to_a_slow_one_that_is_in_time() {
-    assert_eq!(place(entry(4_800, 0), PATIENT_MS), SLOW);
+    assert_eq!(side_of_start(entry(4_800, 0), LONG_WAIT_MS), SLOW);
 }
 
-/// What callers saw: long jobs were late with room free, where room is granted. Each entry saw of a fast target what was
-/// granted to it, and took the rest for used.
+/// Long jobs used to be late with capacity free, where capacity is granted: each entry saw of a fast target only the
+/// capacity granted to it and took the rest for used.
 #[test]
-fn room_that_is_hidden_makes_no_target_full() {
-    assert_eq!(place(entry(1_600, 0), PATIENT_MS), SLOW);
-    assert_eq!(place(entry(1_600, 12_800), PATIENT_MS), FAST);
+fn withheld_capacity_does_not_count_as_used() {
+    assert_eq!(side_of_start(entry(1_600, 0), LONG_WAIT_MS), SLOW);
+    assert_eq!(side_of_start(entry(1_600, 12_800), LONG_WAIT_MS), FAST);
 }
 
-/// What a caller saw: its job timed out three times in a row, each time on slow targets that were in time for the
-/// objective, which lay beyond its deadline.
+/// A job used to time out three times in a row, each time on slow targets that could meet the latency objective,
+/// which lay beyond the caller's deadline.
 #[test]
 fn a_task_is_in_time_only_if_its_caller_still_waits() {
-    assert_eq!(place(entry(4_800, 0), HASTY_MS), FAST);
+    assert_eq!(side_of_start(entry(4_800, 0), SHORT_WAIT_MS), FAST);
 }
--- a/crates/mastknot_core/tests/wrong_memory.rs
+++ b/crates/mastknot_core/tests/wrong_memory.rs
@@ -1,4 +1,5 @@
-//! What a side remembers of its target may be of a life that is over: another one answers, with runs on it.
+//! The remembered target profile of a side may be that of an ended incarnation, while another one answers and runs
+//! tasks.
 
 mod common;
 
@@ -12,11 +13,16 @@
 };
 use mastknot_core::types::Incarnation;
 
-fn listing(side: &mut Side, ms: u64, effects: &[AgentEffect], born_ms: u64) -> Vec<AgentEffect> {
+fn answer_listing(
+    side: &mut Side,
+    ms: u64,
+    effects: &[AgentEffect],
+    started_at_ms: u64,
+) -> Vec<AgentEffect> {
     let number = probe_number(effects).expect("a probe is under way");
     let result = Ok(TargetView {
         clock_ms: 1_000 + ms,
-        started_at_ms: born_ms,
+        started_at_ms,
         running: vec![TargetRunning {
             run: run(1),
             percent: (ms % 50) as u8,
@@ -48,7 +54,7 @@
     }])
 }
 
-/// The runs that entries are told go on.
+/// Returns the runs that entries are told continue.
 fn resumed(effects: &[AgentEffect]) -> Option<Vec<RunId>> {
     effects.iter().find_map(|effect| match effect {
         AgentEffect::Send {
@@ -64,31 +70,32 @@
     side.step(ms, AgentEvent::LinkUp { session });
 }
 
-/// An old profile from memory made the answer of the life that runs look like the end of a life: its runs were called over.
+/// A profile of an earlier incarnation made the answer of the running one look like the end of an incarnation, and
+/// the side reported its runs as ended.
 #[test]
-fn a_run_that_was_taken_over_is_not_over_when_the_remembered_life_is_not_the_one_that_answers() {
+fn an_adopted_run_is_not_over_when_the_remembered_incarnation_is_not_the_one_that_answers() {
     let mut side = Side::unknown();
     let effects = side.step(0, AgentEvent::Tick);
-    let effects = listing(&mut side, 1, &effects, 0);
-    let effects = listing(&mut side, 3, &effects, 0);
+    let effects = answer_listing(&mut side, 1, &effects, 0);
+    let effects = answer_listing(&mut side, 3, &effects, 0);
     link_up(&mut side, 4);
     let welcomed = side.order(5, ENTRY, remembering(TargetId::named("target-0")));
     assert_eq!(resumed(&welcomed), Some(vec![run(1)]));
     let adopted = side.order(6, ENTRY, adopt());
-    let effects = listing(&mut side, 7, &[effects, welcomed, adopted].concat(), 0);
-    let number = probe_number(&effects).expect("a look that names the remembered life");
+    let effects = answer_listing(&mut side, 7, &[effects, welcomed, adopted].concat(), 0);
+    let number = probe_number(&effects).expect("a probe that names the remembered incarnation");
     let result = Err(ProbeFailure::OtherIncarnation);
     let effects = side.step(8, AgentEvent::Probed { number, result });
     assert_eq!(ends(&effects), []);
     assert!(side.agent.runs().get(&run(1)).is_some());
-    let effects = listing(&mut side, 9, &effects, 0);
+    let effects = answer_listing(&mut side, 9, &effects, 0);
     assert_eq!(stopped(&effects), []);
     assert!(side.agent.runs().get(&run(1)).is_some());
 }
 
-/// The same where lives share a name and the memory comes before the first answer.
+/// The same failure where incarnations share a name and the remembered profile arrives before the first answer.
 #[test]
-fn runs_of_a_life_that_was_born_after_the_remembered_one_are_listed() {
+fn runs_of_an_incarnation_that_started_after_the_remembered_one_are_listed() {
     let mut side = Side::unknown();
     let first = side.step(0, AgentEvent::Tick);
     let remembered = TargetProfile {
@@ -96,11 +103,11 @@
         ..profile()
     };
     side.step(1, AgentEvent::TargetRemembered(remembered));
-    let effects = listing(&mut side, 2, &first, 20);
+    let effects = answer_listing(&mut side, 2, &first, 20);
     link_up(&mut side, 3);
     let welcomed = side.order(4, ENTRY, welcome("entry-1", 1));
-    let effects = listing(&mut side, 5, &[effects, welcomed.clone()].concat(), 20);
-    let told = resumed(&welcomed).or_else(|| resumed(&effects));
-    assert_eq!(told, Some(vec![run(1)]));
+    let effects = answer_listing(&mut side, 5, &[effects, welcomed.clone()].concat(), 20);
+    let reported = resumed(&welcomed).or_else(|| resumed(&effects));
+    assert_eq!(reported, Some(vec![run(1)]));
     assert_eq!(stopped(&effects), []);
 }
