--- a/crates/mastknot_core/tests/agent.rs
+++ b/crates/mastknot_core/tests/agent.rs
@@ -22,7 +22,7 @@
     };
     assert!(
         !too_soon.are_safe(Duration::from_millis(50)),
-        "the hold outlives the run by 2 percent"
+        "the hold may outlive `run_over_after` by 2 percent"
     );
 }
 
--- a/crates/mastknot_core/tests/claiming.rs
+++ b/crates/mastknot_core/tests/claiming.rs
@@ -563,7 +563,7 @@
     entry.reports(ms + 21, side, vec![resume])
 }
 
-/// Returns the side of each claim that is sent, and whether it renews a claim from before the side's restart.
+/// Returns the side of each claim that is sent, and whether the entry has owned the job before.
 fn reclaims(effects: &[SchedulerEffect]) -> Vec<(u64, bool)> {
     let reclaims = effects.iter().filter_map(|effect| match effect {
         SchedulerEffect::Send {
--- a/crates/mastknot_core/tests/common/entry.rs
+++ b/crates/mastknot_core/tests/common/entry.rs
@@ -153,7 +153,7 @@
         ended: Vec<EndedRun>,
     ) {
         let status = SideStatus {
-            slowdown_percent: slowdown_percent,
+            slowdown_percent,
             starts_included: u64::MAX,
             ended,
             ..self.next_status(16_000)
--- a/crates/mastknot_core/tests/crash_evidence.rs
+++ b/crates/mastknot_core/tests/crash_evidence.rs
@@ -353,8 +353,8 @@
     assert_eq!(fixture.released(), 1, "released after four seconds");
 }
 
-/// Each crash restarts the check for a release, so a kind with many crashes gets more chances of a release by chance.
-/// It therefore needs more successful runs.
+/// The more crashes there were, the more often the entry checked whether the kind had stopped crashing targets, so a
+/// kind with many crashes must show more successful runs before its release.
 #[test]
 fn a_kind_that_has_crashed_many_targets_is_released_after_many_healthy_runs() {
     let (_, bad) = kinds();
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -57,7 +57,7 @@
     LoadView { sides, own }
 }
 
-/// Returns the input for a job of eight tasks of 100 ms each, behind this much waiting capacity.
+/// Returns the input for a job of eight tasks of 100 ms each, with this much required capacity ahead of it.
 fn ahead(capacity_ahead: u64) -> ForecastInput {
     ForecastInput {
         rank: NEW,
--- a/crates/mastknot_core/tests/learned_profile.rs
+++ b/crates/mastknot_core/tests/learned_profile.rs
@@ -265,7 +265,7 @@
     entry.status(1, side, 16_000, 0, Some(target), Vec::new());
 }
 
-/// Returns an entry with as many fast as slow targets, by the classes that the document knows.
+/// Returns an entry of whose targets half are slow; the document has the slowdown of each class.
 fn unequal_entry(scarcity: ScarcitySettings) -> Entry {
     let mut entry = entry_with(scarcity);
     for side in 0..8 {
--- a/crates/mastknot_core/tests/profile_writing.rs
+++ b/crates/mastknot_core/tests/profile_writing.rs
@@ -32,7 +32,7 @@
         queue: Arc::from("queue"),
         steps: 64,
         log_estimate: 0.0,
-        log_run_time: log_run_time,
+        log_run_time,
         estimate_variance: 0.1,
         covariance: 0.1,
     }
--- a/crates/mastknot_core/tests/relay.rs
+++ b/crates/mastknot_core/tests/relay.rs
@@ -197,7 +197,7 @@
     assert_eq!(
         fetch.poll(at(400), 3, timeout, LIMITED_LINK),
         None,
-        "the store has delivered this version"
+        "the store has already delivered this version"
     );
     assert_eq!(fetch.next_tick(timeout), None);
 }
--- a/crates/mastknot_core/tests/room_grants.rs
+++ b/crates/mastknot_core/tests/room_grants.rs
@@ -13,7 +13,7 @@
     StartOrder, WaitingNeed,
 };
 
-/// Upper bound of the life of a grant in milliseconds: its reported validity and the latency in both directions.
+/// Maximum lifetime of a grant, in milliseconds: its reported validity and the latency in both directions.
 const RETURNED_WITHIN_MS: u64 = 100;
 
 fn update_with_grants() -> EntryUpdate {
@@ -32,7 +32,7 @@
         ..WaitingNeed::default()
     };
     EntryOrder::Heartbeat {
-        last_received: last_received,
+        last_received,
         need: (waiting_millis > 0).then_some(need),
         update: Some(update_with_grants()),
     }
--- a/crates/mastknot_core/tests/room_offers.rs
+++ b/crates/mastknot_core/tests/room_offers.rs
@@ -18,7 +18,7 @@
     };
     let need = (waiting_millis > 0).then_some(need);
     EntryOrder::Heartbeat {
-        last_received: last_received,
+        last_received,
         need,
         update: None,
     }
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -52,7 +52,7 @@
     HallDemand { hall, share, each }
 }
 
-/// Whether a hall is charged for pieces that others could not use.
+/// Whether a hall is charged for pieces that it gets because others could not use them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lent {
     Charged,
@@ -67,7 +67,7 @@
         let owed = |index: usize| demands[index].share * (piece + 1) as f64 - got[index] as f64;
         let waiting = (0..demands.len()).filter(|index| owed(*index) >= 1.0);
         let waiting: Vec<usize> = waiting.collect();
-        let halls: Vec<Hall> = demands.iter().map(|demands| demands.hall.into()).collect();
+        let halls: Vec<Hall> = demands.iter().map(|demand| demand.hall.into()).collect();
         let virtual_time_of = |index: &usize| shares.virtual_time(&halls[*index]);
         let first = waiting.iter().copied().min_by_key(virtual_time_of);
         let fitting = waiting.iter().copied();
--- a/crates/mastknot_core/tests/side_learning.rs
+++ b/crates/mastknot_core/tests/side_learning.rs
@@ -205,8 +205,8 @@
     assert!(effects.iter().any(is_order));
 }
 
-/// The lease of a link on standby is seconds old: under it the new link used to be closed at once and opened a third
-/// time.
+/// The lease of a link on standby is seconds old: under this lease the new link used to be closed at once and opened
+/// a third time.
 #[test]
 fn a_link_that_replaces_one_on_standby_stays_open() {
     let mut side = Side::ready();
--- a/crates/mastknot_core/tests/target_lives.rs
+++ b/crates/mastknot_core/tests/target_lives.rs
@@ -57,7 +57,7 @@
 }
 
 /// A partition delayed a report while its sender crashed and the next incarnation started: the side used to count all
-/// runs of that incarnation as lost, and entries started them again beside the runs that continued.
+/// runs of the next incarnation as lost, and entries started them again beside the runs that continued.
 #[test]
 fn a_late_report_of_an_ended_incarnation_loses_no_run() {
     let mut side = Side::ready();
--- a/crates/mastknot_core/tests/target_rebirths.rs
+++ b/crates/mastknot_core/tests/target_rebirths.rs
@@ -185,8 +185,8 @@
     assert_eq!(side.agent.runs().len(), 2);
 }
 
-/// Orders of that kind carried a hold by the old clock: nothing else starts before the longest possible hold has
-/// expired.
+/// Orders to the earlier incarnation that the next one accepted carry a hold by the old clock: nothing else starts
+/// before the longest possible hold has expired.
 #[test]
 fn nothing_starts_under_a_hold_by_the_clock_of_the_earlier_incarnation() {
     let mut side = side();
