--- a/crates/mastknot_cli/src/demo/steps.rs
+++ b/crates/mastknot_cli/src/demo/steps.rs
@@ -221,7 +221,7 @@
     )?;
     reporter.step(
         "drain a target",
-        "a draining target gets no new tasks; the job ran on the others",
+        "a leaving target gets nothing new; the job ran on the others",
         json!({ "target": target, "starts before": before, "starts after": after }),
     );
     Ok(())
--- a/crates/mastknot_standin/src/worker/worker_stand_in.rs
+++ b/crates/mastknot_standin/src/worker/worker_stand_in.rs
@@ -139,7 +139,7 @@
         faults
     };
     if faults.is_failing {
-        let error = json!({ "error": "injected failure" });
+        let error = json!({ "error": "told to fail" });
         return json_response(StatusCode::INTERNAL_SERVER_ERROR, &error);
     }
     let percent = if faults.slow_percent == 0 {
