--- a/crates/mastknot_virtual/src/audit/mod.rs
+++ b/crates/mastknot_virtual/src/audit/mod.rs
@@ -1,32 +1,32 @@
-//! The promises, checked from outside of the cores.
+//! Checks of the guarantees, made from outside of the cores.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use mastknot_core::message::{FailReason, Ran, Reply, Submission, SubmissionAnswer};
 use mastknot_core::types::{NodeName, SubmissionKey, TaskId};
 
-/// A broken promise.
+/// Violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A task that may not be repeated was started twice.
+    /// A task that must not be repeated was started twice.
     StartedTwice(TaskId),
-    /// A complete answer lacks a task or has one too many.
+    /// A complete answer has fewer or more results than the submission has tasks.
     IncompleteAnswer(SubmissionKey),
-    /// A complete answer holds another submission's bytes.
+    /// A complete answer contains the bytes of another submission.
     WrongAnswer(SubmissionKey),
-    /// A reply said "not run", and a task of the submission had been started.
+    /// A reply reported "not run" although a task of the submission had been started.
     FalseNotRun(SubmissionKey),
-    /// Two final answers to one key differ.
+    /// Two final answers to the same key differ.
     AnswersDiffer(SubmissionKey),
-    /// A caller was answered twice.
+    /// A caller received two replies to one request.
     AnsweredTwice(u64),
-    /// A node went back to an older configuration.
+    /// A node returned to an older configuration version.
     ConfigReverted(NodeName),
-    /// A target got new work long after it began to leave.
+    /// A target received new work long after it had begun to leave.
     StartedWhileLeaving(NodeName),
 }
 
-/// Keeps the record of true starts and checks every reply against it.
+/// Records the actual starts of tasks and checks every reply against them.
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
     starts: HashMap<TaskId, u32>,
@@ -38,32 +38,32 @@
 }
 
 impl Audit {
-    /// What was broken so far.
+    /// Returns the violations recorded so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// All starts so far.
+    /// Returns the number of starts of all tasks so far.
     pub fn total_starts(&self) -> u64 {
         self.starts.values().map(|count| u64::from(*count)).sum()
     }
 
-    /// How often a task was started.
+    /// Returns the number of starts of a task.
     pub fn starts_of(&self, task: TaskId) -> u32 {
         self.starts.get(&task).copied().unwrap_or(0)
     }
 
-    /// Allows a submission's task to be started more than once.
+    /// Allows the tasks of a submission to be started more than once.
     pub fn allow_repeats(&mut self, key: SubmissionKey) {
         self.repeatable.insert(key);
     }
 
-    /// Records a broken promise that something else has noticed.
+    /// Records a violation that was detected outside of the audit.
     pub fn report(&mut self, violation: Violation) {
         self.violations.push(violation);
     }
 
-    /// A target starts a task.
+    /// Records that a target starts a task.
     pub fn record_start(&mut self, task: TaskId) {
         self.started_keys.insert(task.key);
         let count = self.starts.entry(task).or_default();
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A node has a configuration version in force.
+    /// Records the configuration version that is in force at a node.
     pub fn record_config(&mut self, node: &NodeName, version: u64) {
         let held = self.config.entry(node.clone()).or_default();
         if version < *held {
@@ -83,12 +83,12 @@
         *held = version;
     }
 
-    /// A node has lost its memory by a restart.
+    /// Records that a node has lost its memory in a restart, so that an older configuration is no violation.
     pub fn record_restart(&mut self, node: &NodeName) {
         self.config.remove(node);
     }
 
-    /// A caller gets a reply to a submission.
+    /// Records the reply to a submission and checks it.
     pub fn record_reply(&mut self, submission: &Submission, reply: &Reply) {
         let key = submission.key;
         match reply {
@@ -120,7 +120,8 @@
     }
 }
 
-/// The honest "unknown": the holder that had the answer is lost, or has had to drop it.
+/// Returns whether the answer is a legitimate "unknown": the holder that had the answer is lost, or has had
+/// to evict it.
 fn is_unknown(answer: &SubmissionAnswer) -> bool {
     let SubmissionAnswer::Failed { reason, .. } = answer else {
         return false;
@@ -128,7 +129,8 @@
     matches!(reason, FailReason::HolderLost | FailReason::AnswerEvicted)
 }
 
-/// Reuse of a key with other content says that the new content was not run.
+/// Returns whether the refusal concerns a key that was reused with other content. Such a refusal reports that
+/// the new content was not run, and the first content may have been.
 fn is_about_reuse(refusal: &mastknot_core::message::Refusal) -> bool {
     refusal.reason == mastknot_core::message::RefusalReason::KeyReused
 }
--- a/crates/mastknot_virtual/src/faults/mod.rs
+++ b/crates/mastknot_virtual/src/faults/mod.rs
@@ -1,51 +1,51 @@
-//! What happens to messages on their way.
+//! Faults that tests inject into messages and processes.
 
 use std::time::Duration;
 
 use mastknot_core::message::{EntryMessage, PeerMessage, SideMessage};
 
-/// The kind of a message, as fault rules name it.
+/// Kind of a message that a fault rule or trigger selects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MessageKind {
-    /// A start, entry to side.
+    /// Order to start a task, sent by an entry to a side.
     Start,
-    /// An exchange of credits, entry to side.
+    /// Exchange of credits, sent by an entry to a side.
     Exchange,
-    /// A stop, entry to side.
+    /// Order to stop a task, sent by an entry to a side.
     Stop,
-    /// Configuration, to a side or a peer.
+    /// Configuration sent to a side or a peer entry, or a report of the version in force there.
     Config,
-    /// A question what a side remembers, or its answer.
+    /// Request for the tasks that a side remembers, or the side's answer.
     Recall,
-    /// Credits, side to entry.
+    /// Grant of credits, sent by a side to an entry.
     Grant,
-    /// A task's answer, side to entry.
+    /// Result of a task, sent by a side to an entry.
     Answer,
-    /// A refused start, side to entry.
+    /// Report that a task was not run, sent by a side to an entry.
     NotRun,
-    /// A side says that it leaves, or is told to.
+    /// Report of a side that it is leaving, or an entry's order to leave.
     Leaving,
-    /// A submission or fetch sent on to its holder.
+    /// Submission or fetch that an entry forwards to the holder of its key.
     Forward,
-    /// The holder's reply.
+    /// Reply of the holder to a forwarded submission or fetch.
     Replied,
-    /// A question to an earlier holder, or its answer.
+    /// Request to an earlier holder about a key, or the answer.
     AskKey,
-    /// A roster, its adoption, or a wish to join.
+    /// Roster, its adoption, or a request to join it.
     Roster,
-    /// A confirmation of a roster version, or the question for it.
+    /// Confirmation of a roster version, or the request for the confirmation.
     Confirm,
-    /// Finished submissions, handed over.
+    /// Finished submissions that are handed over to another entry.
     Handover,
-    /// Credits between entries, or the wish for them.
+    /// Credits that one entry lends to another, or the request for them.
     Lend,
-    /// Anything else.
+    /// Any other message between processes.
     Other,
-    /// A caller's submission, caller to entry.
+    /// Submission that a caller sends to an entry.
     Submit,
-    /// A target begins a task of a side.
+    /// Start of a task at the target of a side.
     Run,
-    /// A call of an entry to the store.
+    /// Call of an entry to the store.
     Store,
 }
 
@@ -95,48 +95,48 @@
     }
 }
 
-/// What becomes of a message.
+/// Fault that affects the delivery of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageFault {
-    /// It never arrives.
+    /// The message never arrives.
     Lost,
-    /// It arrives this much later, behind later ones.
+    /// The message arrives late by this time and behind later messages.
     Delayed(Duration),
-    /// It arrives twice, the second time this much later.
+    /// The message arrives twice, the second time after this delay.
     Duplicated(Duration),
 }
 
-/// What happens to a process.
+/// Fault that affects a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// It dies.
+    /// The process dies.
     Dies,
-    /// It dies and starts again after this time.
+    /// The process dies and starts again after this time.
     Restarts(Duration),
-    /// It is paused for this time and wakes.
+    /// The process is paused for this time and then resumes.
     Pauses(Duration),
 }
 
-/// A process fault at a step: the next message of a kind meets its sender or its receiver.
+/// Process fault that is triggered by a message of a given kind and hits its sender or its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Trigger {
-    /// The kind.
+    /// Kind of the message that triggers the fault.
     pub kind: MessageKind,
-    /// Messages of the kind that pass before.
+    /// Number of messages of the kind to let pass before the fault.
     pub skip: u32,
-    /// Whether an entry or a side is hit, whichever end it is at.
+    /// Whether the fault hits the side and not the entry, regardless of which of them sent the message.
     pub hits_side: bool,
-    /// What happens to it, right after the message was sent.
+    /// Fault of the process, which takes effect right after the message was sent.
     pub fault: ProcessFault,
 }
 
-/// The next `count` messages of a kind meet a fate.
+/// Rule that applies a fault to the next `count` messages of a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultRule {
-    /// The kind.
+    /// Kind of the messages that the rule applies to.
     pub kind: MessageKind,
-    /// The fate.
+    /// Fault of each of these messages.
     pub fault: MessageFault,
-    /// How many messages it still meets.
+    /// Number of messages that the rule still applies to.
     pub count: u32,
 }
--- a/crates/mastknot_virtual/src/jobs/act.rs
+++ b/crates/mastknot_virtual/src/jobs/action.rs
@@ -7,120 +7,134 @@
 
 use super::JobFault;
 use super::profile_store::ProfileAnswer;
-use super::target_slot::OpenLook;
+use super::target_slot::OpenProbe;
 use super::virtual_target::VirtualStart;
 
-/// Something that happens at its time.
+/// Scheduled action of the simulation.
 #[derive(Clone, Debug)]
-pub(super) enum Act {
+pub(super) enum Action {
+    /// A side dials an entry.
     Dial {
         entry: usize,
         side: usize,
     },
+    /// A report of a side arrives at an entry.
     ToEntry {
         entry: usize,
-        life: u64,
+        incarnation: u64,
         session: SessionId,
         report: Box<SideReport>,
     },
+    /// An order of an entry arrives at a side.
     ToSide {
         side: usize,
-        life: u64,
+        incarnation: u64,
         session: SessionId,
         order: Box<EntryOrder>,
     },
-    DownAtEntry {
+    /// An entry notices that a link is down.
+    LinkDownAtEntry {
         entry: usize,
-        life: u64,
+        incarnation: u64,
         session: SessionId,
     },
-    DownAtSide {
+    /// A side notices that a link is down.
+    LinkDownAtSide {
         side: usize,
-        life: u64,
+        incarnation: u64,
         session: SessionId,
     },
     TickEntry {
         entry: usize,
-        life: u64,
+        incarnation: u64,
     },
     TickSide {
         side: usize,
-        life: u64,
+        incarnation: u64,
     },
+    /// An event that does not come from an entry arrives at a side.
     SideInput {
         side: usize,
-        life: u64,
+        incarnation: u64,
         event: Box<AgentEvent>,
     },
+    /// A start order arrives at a target.
     TargetStart {
         side: usize,
-        life: u64,
-        lives: u64,
+        incarnation: u64,
+        target_incarnation: u64,
         start: Box<VirtualStart>,
         is_answered: bool,
     },
+    /// A stop order arrives at a target.
     TargetStop {
         side: usize,
-        life: u64,
+        incarnation: u64,
         run: RunId,
         token: u64,
         is_answered: bool,
     },
-    TargetLook {
+    /// A probe arrives at a target and waits there for an update for up to `wait` microseconds.
+    TargetProbe {
         side: usize,
-        open: Box<OpenLook>,
+        open: Box<OpenProbe>,
         wait: u64,
     },
-    LookWaited {
+    /// The waiting time of a probe at its target is over.
+    ProbeWaited {
         side: usize,
         number: u64,
     },
-    /// What a target has answered to a look arrives at its side.
-    LookAnswered {
+    /// The answer of a target to a probe arrives at its side.
+    ProbeAnswered {
         side: usize,
-        lives: u64,
-        open: Box<OpenLook>,
+        target_incarnation: u64,
+        open: Box<OpenProbe>,
         result: Result<TargetView, ProbeFailure>,
     },
+    /// A run or the hold of a target may be due to end.
     TargetDue {
         side: usize,
     },
-    /// A run brings its target down.
-    CrashUnder {
+    /// A run crashes its target.
+    CrashTargetOfRun {
         side: usize,
-        lives: u64,
+        target_incarnation: u64,
         run: RunId,
     },
-    Beat {
+    /// A target sends a report to its side.
+    Heartbeat {
         side: usize,
-        lives: u64,
+        target_incarnation: u64,
     },
-    /// A side that has started has an answer to its call for what its target is.
-    TargetRecalled {
+    /// A side that has started receives the answer to its call for the stored profile of its target.
+    TargetProfileRead {
         side: usize,
-        life: u64,
+        incarnation: u64,
     },
+    /// A caller submits a job to an entry.
     Submit {
         job: JobId,
         entry: usize,
     },
-    /// The callers of a job leave.
-    Leave {
+    /// All callers of a job leave.
+    CallersLeave {
         job: JobId,
     },
-    /// An entry sees that a caller has left.
+    /// An entry notices that a caller has left.
     Abandon {
         entry: usize,
-        life: u64,
+        incarnation: u64,
         caller: CallerId,
     },
+    /// The time for which a caller waits for an answer is over.
     CallerTimeout {
         caller: CallerId,
     },
-    /// What a caller has sent to an entry arrives late.
+    /// A delayed event of a caller arrives at an entry.
     FromCaller {
         entry: usize,
-        life: u64,
+        incarnation: u64,
         event: Box<SchedulerEvent>,
     },
     Fault(JobFault),
@@ -133,12 +147,15 @@
     StartTarget {
         side: usize,
     },
+    /// The capacity of a target returns to its initial value.
     ResizeOver {
         side: usize,
     },
-    MoodOver {
+    /// A target behaves correctly again.
+    MisbehaviourOver {
         side: usize,
     },
+    /// A segment of `bytes` bytes has been sent on a bandwidth-limited link.
     SegmentSent {
         entry: usize,
         is_to_side: bool,
@@ -149,36 +166,38 @@
     Drain {
         hall: Hall,
     },
-    /// Operators return a hall.
+    /// Operators return a drained hall to service.
     Return {
         hall: Hall,
     },
-    /// An entry reads from the store which halls are drained.
+    /// An entry reads the set of drained halls from the store.
     ReadDrained {
         entry: usize,
-        life: u64,
+        incarnation: u64,
     },
-    /// An entry looks whether it has to read or write what was learned.
-    LookAtProfile {
+    /// An entry checks whether it has to read or write the learned profile.
+    CheckProfile {
         entry: usize,
-        life: u64,
+        incarnation: u64,
     },
-    /// An entry has an answer to its call for what was learned.
+    /// An entry receives the answer to its call for the learned profile.
     ProfileAnswered {
         entry: usize,
-        life: u64,
+        incarnation: u64,
         answer: Box<ProfileAnswer>,
     },
-    /// Operators give halls weights.
+    /// Operators set the weights of halls.
     SetShareWeights {
         halls: BTreeMap<Hall, u32>,
     },
     /// An entry reads the weights of halls from the store.
     ReadShareWeights {
         entry: usize,
-        life: u64,
+        incarnation: u64,
     },
+    /// The store receives a configuration.
     Publish(ConfigDocument),
+    /// An entry has read a configuration from the store.
     Published {
         entry: usize,
         document: ConfigDocument,
--- a/crates/mastknot_virtual/src/jobs/bad_tasks.rs
+++ b/crates/mastknot_virtual/src/jobs/bad_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that can never be done: they crash the targets on which they start, fail, or stand still.
+//! Tasks that can never complete: they crash the targets on which they start, fail, or stall.
 
 use std::time::Duration;
 
@@ -6,25 +6,24 @@
 use mastknot_core::job::{JobId, RunId, TaskRef};
 
 use super::TargetBehaviour;
-use super::act::Act;
+use super::action::Action;
 use super::job_system::{JobSystem, TARGET_DELAY};
 
-/// How the first tasks of a job crash what they start on.
+/// Describes how the first tasks of a job crash the targets on which they start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskCrash {
-    /// How many of the job's tasks do so.
+    /// Number of tasks of the job that crash their targets.
     pub tasks: u16,
-    /// How long after their start.
+    /// Time from the start of a task to the crash.
     pub after: Duration,
-    /// For how long the target is gone.
+    /// Time until the target starts again.
     pub down: Duration,
-    /// Whether the target is silent meanwhile, in place of resetting and refusing connections.
+    /// Whether the crashed target is silent. Otherwise it resets and refuses connections.
     pub is_silent: bool,
 }
 
 impl JobSystem {
-    /// Hands in a job as [`JobSystem::submit`] does, the first tasks of which crash each target on which they
-    /// start.
+    /// Submits a job like [`JobSystem::submit`] whose first tasks crash each target on which they start.
     pub fn submit_crashing(
         &mut self,
         at: Duration,
@@ -38,7 +37,7 @@
         job
     }
 
-    /// Lets the first tasks of a job crash each target on which they start.
+    /// Makes the first tasks of a job crash each target on which they start.
     pub fn make_tasks_crash_targets(&mut self, job: JobId, crash: TaskCrash) {
         for index in 0..crash.tasks {
             let task = TaskRef {
@@ -50,15 +49,15 @@
         }
     }
 
-    /// Hands in a job as [`JobSystem::submit`] does, the first task of which every target runs as if it were in
-    /// this mood.
+    /// Submits a job like [`JobSystem::submit`]. Every target runs its first task as if the target behaved as
+    /// `behaviour` specifies.
     pub fn submit_with_behaviour(
         &mut self,
         at: Duration,
         entry: usize,
         tasks: u16,
         work: Duration,
-        mood: TargetBehaviour,
+        behaviour: TargetBehaviour,
     ) -> JobId {
         let job = self.submit(at, entry, tasks, work);
         let task = TaskRef {
@@ -66,48 +65,58 @@
             step: 0,
             index: 0,
         };
-        self.task_moods.insert(task, mood);
+        self.task_behaviours.insert(task, behaviour);
         job
     }
 
-    /// A run has begun: if its task is of that kind, its target will crash.
-    pub(super) fn plan_crash_under(&mut self, side: usize, run: RunId) {
+    /// Schedules the crash of the target if the task of a run that has begun crashes targets.
+    pub(super) fn plan_target_crash(&mut self, side: usize, run: RunId) {
         let Some(crash) = self.crashing.get(&run.task) else {
             return;
         };
         let after = crash.after.as_micros() as u64;
-        let lives = self.targets[side].lives;
-        self.later(after, Act::CrashUnder { side, lives, run });
+        let target_incarnation = self.targets[side].target_incarnation;
+        self.schedule_in(
+            after,
+            Action::CrashTargetOfRun {
+                side,
+                target_incarnation,
+                run,
+            },
+        );
     }
 
-    pub(super) fn crash_under(&mut self, side: usize, lives: u64, run: RunId) {
+    pub(super) fn crash_target_of_run(&mut self, side: usize, target_incarnation: u64, run: RunId) {
         let Some(crash) = self.crashing.get(&run.task).copied() else {
             return;
         };
         self.advance_target(side);
         let slot = &self.targets[side];
-        let target = slot.target.as_ref().filter(|_| slot.lives == lives);
+        let target = slot
+            .target
+            .as_ref()
+            .filter(|_| slot.target_incarnation == target_incarnation);
         if !target.is_some_and(|target| target.running().contains(&run)) {
             return;
         }
-        self.audit.crashed_under(run.task);
+        self.audit.record_crash(run.task);
         if !crash.is_silent {
-            self.reset_look(side);
+            self.reset_probe(side);
         }
         self.crash_target(side, crash.is_silent);
         let down = crash.down.as_micros() as u64;
-        self.later(down, Act::StartTarget { side });
+        self.schedule_in(down, Action::StartTarget { side });
     }
 
-    /// The look that waits at a target that dies: its connection is reset at once.
-    fn reset_look(&mut self, side: usize) {
-        let Some(open) = self.targets[side].open_look.take() else {
+    /// Resets the connection of the probe that waits at a target that dies.
+    fn reset_probe(&mut self, side: usize) {
+        let Some(open) = self.targets[side].open_probe.take() else {
             return;
         };
         let event = AgentEvent::Probed {
             number: open.number,
             result: Err(ProbeFailure::Silent),
         };
-        self.side_input(TARGET_DELAY, side, open.life, event);
+        self.side_input(TARGET_DELAY, side, open.incarnation, event);
     }
 }
--- a/crates/mastknot_virtual/src/jobs/callers.rs
+++ b/crates/mastknot_virtual/src/jobs/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: handing in, answers, coming again.
+//! Callers: they submit jobs, receive answers and retry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use rand::RngExt;
 
 use super::GivenAnswer;
-use super::act::Act;
+use super::action::Action;
 use super::job_system::{
     ANSWER_SLACK, CALLER_TIME, Caller, JobSystem, MAX_TRIES, MILLI, RESEND_AFTER,
 };
@@ -24,19 +24,19 @@
         let queue = Arc::clone(&job.queue);
         let caller = CallerId(self.next_caller);
         self.next_caller += 1;
-        let held_until = self.held_until(entry);
+        let delayed_until = self.delayed_until(entry);
         let node = &self.entries[entry];
-        // An entry takes no job before it knows what operators have written.
+        // An entry accepts no job before it has read the drained halls from the store.
         let is_down = node.core.is_none() || self.lacks_drained_halls(entry);
-        let known = Caller {
+        let record = Caller {
             job: id,
             entry,
-            entry_life: node.life,
-            handed_in: self.now,
-            was_disturbed: is_down || node.frozen_until > self.now || held_until.is_some(),
-            is_late: held_until.is_some(),
+            entry_incarnation: node.incarnation,
+            submitted_at: self.now,
+            was_disturbed: is_down || node.paused_until > self.now || delayed_until.is_some(),
+            is_delayed: delayed_until.is_some(),
         };
-        self.callers.insert(caller, known);
+        self.callers.insert(caller, record);
         if is_down {
             self.caller_lost(caller);
             return;
@@ -60,103 +60,104 @@
             wall: WallTime::from_millis(1_700_000_000_000 + self.now / MILLI),
         };
         let slack = CALLER_TIME + ANSWER_SLACK;
-        self.later(slack, Act::CallerTimeout { caller });
-        if let Some(at) = held_until {
-            self.send_late(at, entry, event);
+        self.schedule_in(slack, Action::CallerTimeout { caller });
+        if let Some(at) = delayed_until {
+            self.deliver_later(at, entry, event);
             return;
         }
-        if self.entries[entry].frozen_until > self.now {
-            // The request waits in the socket; the caller leaves before it is read.
+        if self.entries[entry].paused_until > self.now {
+            // The request waits in the socket, and the caller leaves before the entry reads it.
             return;
         }
         self.step_entry(entry, event);
     }
 
     pub(super) fn caller_answered(&mut self, caller: CallerId, answer: JobAnswer) {
-        let Some(known) = self.callers.remove(&caller) else {
+        let Some(record) = self.callers.remove(&caller) else {
             return;
         };
-        let Some(job) = self.jobs.get(&known.job) else {
+        let Some(job) = self.jobs.get(&record.job) else {
             return;
         };
         let steps = &job.request.steps;
         let tasks = (0..steps[0].count).map(|index| TaskRef {
-            job: known.job,
+            job: record.job,
             step: 0,
             index,
         });
         let tasks: Vec<TaskRef> = tasks.collect();
-        let after = Duration::from_micros(self.now - known.handed_in);
+        let after = Duration::from_micros(self.now - record.submitted_at);
         let given = GivenAnswer { answer, after };
-        self.audit.answered(known.job, given, &tasks);
+        self.audit.answered(record.job, given, &tasks);
         match answer {
-            JobAnswer::TimedOut => self.resend(known.job),
-            JobAnswer::Refused { retry_after } => self.come_back(&known, retry_after),
+            JobAnswer::TimedOut => self.resend(record.job),
+            JobAnswer::Refused { retry_after } => self.retry_later(&record, retry_after),
             JobAnswer::Completed | JobAnswer::Failed { .. } => {}
         }
     }
 
-    /// A caller that was refused comes back to its entry when it was told to.
-    fn come_back(&mut self, known: &Caller, after: Duration) {
-        let most = self.most_returns;
-        let Some(job) = self.jobs.get_mut(&known.job) else {
+    /// Schedules the retry of a refused caller at its entry, after the time that the refusal named.
+    fn retry_later(&mut self, record: &Caller, after: Duration) {
+        let max_returns = self.max_returns;
+        let Some(job) = self.jobs.get_mut(&record.job) else {
             return;
         };
-        if job.returns >= most {
+        if job.returns >= max_returns {
             return;
         }
         job.returns += 1;
-        let act = Act::Submit {
-            job: known.job,
-            entry: known.entry,
+        let action = Action::Submit {
+            job: record.job,
+            entry: record.entry,
         };
-        self.later(after.as_micros() as u64, act);
+        self.schedule_in(after.as_micros() as u64, action);
     }
 
     pub(super) fn caller_timeout(&mut self, caller: CallerId) {
-        let Some(known) = self.callers.get(&caller).cloned() else {
+        let Some(record) = self.callers.get(&caller).cloned() else {
             return;
         };
-        let is_same_life = self.entries[known.entry].life == known.entry_life;
-        if !known.was_disturbed && is_same_life {
-            self.audit.unanswered(known.job, known.handed_in);
+        let is_same_incarnation =
+            self.entries[record.entry].incarnation == record.entry_incarnation;
+        if !record.was_disturbed && is_same_incarnation {
+            self.audit.unanswered(record.job, record.submitted_at);
         }
-        let departs_late = self.departs_late(&known);
+        let is_departure_delayed = self.is_departure_delayed(&record);
         self.caller_lost(caller);
-        if departs_late {
-            self.depart_late(caller, known.entry);
-        } else if is_same_life && self.entries[known.entry].frozen_until <= self.now {
-            self.step_entry(known.entry, SchedulerEvent::Abandon { caller });
+        if is_departure_delayed {
+            self.schedule_departure(caller, record.entry);
+        } else if is_same_incarnation && self.entries[record.entry].paused_until <= self.now {
+            self.step_entry(record.entry, SchedulerEvent::Abandon { caller });
         }
     }
 
-    /// Whoever waits for a job leaves, and nobody hands it in again. The entry sees that at once, or when it
-    /// wakes; a dead one never does.
+    /// Makes all callers of a job leave for good, so that the job is not submitted again. The entry notices
+    /// this at once, or when it resumes; a dead entry never notices.
     pub(super) fn callers_leave(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.has_left = true;
         }
-        let waiting = self.callers.iter().filter(|(_, known)| known.job == id);
+        let waiting = self.callers.iter().filter(|(_, record)| record.job == id);
         let waiting: Vec<(CallerId, Caller)> = waiting
-            .map(|(caller, known)| (*caller, known.clone()))
+            .map(|(caller, record)| (*caller, record.clone()))
             .collect();
         let mut noticed = self.now;
-        for (caller, known) in waiting {
-            let entry = known.entry;
+        for (caller, record) in waiting {
+            let entry = record.entry;
             self.callers.remove(&caller);
             self.unanswered.insert(id);
-            if self.departs_late(&known) {
-                noticed = noticed.max(self.depart_late(caller, entry));
+            if self.is_departure_delayed(&record) {
+                noticed = noticed.max(self.schedule_departure(caller, entry));
                 continue;
             }
-            let wakes = self.entries[entry].frozen_until.max(self.now);
-            noticed = noticed.max(wakes);
-            let life = self.entries[entry].life;
+            let resumes_at = self.entries[entry].paused_until.max(self.now);
+            noticed = noticed.max(resumes_at);
+            let incarnation = self.entries[entry].incarnation;
             self.schedule.add(
-                wakes,
-                Act::Abandon {
+                resumes_at,
+                Action::Abandon {
                     entry,
-                    life,
+                    incarnation,
                     caller,
                 },
             );
@@ -165,9 +166,9 @@
     }
 
     pub(super) fn caller_lost(&mut self, caller: CallerId) {
-        if let Some(known) = self.callers.remove(&caller) {
-            self.unanswered.insert(known.job);
-            self.resend(known.job);
+        if let Some(record) = self.callers.remove(&caller) {
+            self.unanswered.insert(record.job);
+            self.resend(record.job);
         }
     }
 
@@ -175,7 +176,7 @@
         let tries = self.jobs.get(&id).map_or(MAX_TRIES, |job| job.tries);
         if tries < MAX_TRIES {
             let entry = self.rng.random_range(0..self.settings.entries);
-            self.later(RESEND_AFTER, Act::Submit { job: id, entry });
+            self.schedule_in(RESEND_AFTER, Action::Submit { job: id, entry });
         }
     }
 }
--- a/crates/mastknot_virtual/src/jobs/draining.rs
+++ b/crates/mastknot_virtual/src/jobs/draining.rs
@@ -1,4 +1,4 @@
-//! Halls that operators drain and return, as the store has them and entries read them.
+//! Halls that operators drain and return: the state in the store, and how entries read it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,32 +9,33 @@
 use mastknot_core::types::Hall;
 use rand::RngExt;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::{JobSystem, MILLI};
 use super::processes::hall_of;
 
-/// An entry hears of a change of the store within this, in microseconds.
-const HEARD_WITHIN: u64 = 6 * MILLI;
-/// An entry that is back in touch with the store has read it within this, in microseconds.
-const READ_AGAIN_WITHIN: u64 = 1_100 * MILLI;
+/// Maximum time after which an entry has read a change of the store, in microseconds.
+const MAX_READ_DELAY: u64 = 6 * MILLI;
+/// Maximum time after which an entry that has regained the store has read it, in microseconds.
+const MAX_REREAD_DELAY: u64 = 1_100 * MILLI;
 
-/// Above all revisions that the store reaches in a test.
-const WORDS_ABOVE: u64 = 1_000_000;
+/// Number that is greater than every revision that the store reaches in a test.
+const RENUMBERED_FROM: u64 = 1_000_000;
 
-/// What the processes do with the news of drained halls.
+/// Variant of how the processes handle updates of drained halls. All variants but the first are deliberately
+/// wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainVariant {
-    /// What they should.
+    /// The processes behave correctly.
     Correct,
-    /// Sides start whatever entries order.
+    /// Sides start whatever the entries order, even in a drained hall.
     SidesDoNotEnforce,
-    /// The word that came last counts, whatever its revision.
+    /// The update that arrives last takes effect, regardless of its revision.
     LastMessageWins,
-    /// Entries that start do not read which halls are drained.
+    /// Entries that start do not read the set of drained halls.
     ForgottenOnRestart,
 }
 
-/// What the store has at first.
+/// Returns the set of drained halls that the store has at the start.
 pub(super) fn nothing_drained() -> Arc<DrainedHalls> {
     Arc::new(DrainedHalls {
         revision: 1,
@@ -43,48 +44,49 @@
 }
 
 impl JobSystem {
-    /// Lets the processes do something wrong: tests see that it is noticed.
+    /// Selects a wrong variant, so that tests can verify that the audit detects it.
     pub fn set_drain_variant(&mut self, variant: DrainVariant) {
         self.drain_variant = variant;
     }
 
-    /// Operators drain a hall.
+    /// Schedules that operators drain a hall.
     pub fn drain(&mut self, at: Duration, hall: usize) {
         let hall = hall_of(hall);
         let at = at.as_micros() as u64;
-        self.schedule.add(at, Act::Drain { hall });
+        self.schedule.add(at, Action::Drain { hall });
     }
 
-    /// Operators return a hall.
+    /// Schedules that operators return a drained hall to service.
     pub fn return_drained_hall(&mut self, at: Duration, hall: usize) {
         let hall = hall_of(hall);
         let at = at.as_micros() as u64;
-        self.schedule.add(at, Act::Return { hall });
+        self.schedule.add(at, Action::Return { hall });
     }
 
-    /// The targets of a hall are slow from now until a time, and say so unless `is_hidden`.
+    /// Makes the targets of a hall cold (slow) from now until `until`. They report this unless `is_hidden` is
+    /// set.
     pub fn make_targets_cold(&mut self, hall: usize, until: Duration, is_hidden: bool) {
         let until = until.as_micros() as u64;
         let slots = self.targets.iter_mut().enumerate();
-        let there = slots.filter(|(side, _)| hall_of(*side) == hall_of(hall));
-        for target in there.filter_map(|(_, slot)| slot.target.as_mut()) {
+        let in_hall = slots.filter(|(side, _)| hall_of(*side) == hall_of(hall));
+        for target in in_hall.filter_map(|(_, slot)| slot.target.as_mut()) {
             target.cold_until = until;
             target.hides_cold = is_hidden;
         }
     }
 
-    /// From a time on an entry is out of touch with the store for a while.
+    /// Disconnects an entry from the store until the given time.
     pub fn disconnect_from_store(&mut self, until: Duration, entry: usize) {
-        self.store_away_until[entry] = until.as_micros() as u64;
+        self.store_unreachable_until[entry] = until.as_micros() as u64;
     }
 
-    /// Which halls each entry that runs takes for drained.
+    /// Returns the drained halls that each running entry knows of.
     pub fn drained_at_entries(&self) -> Vec<DrainedHalls> {
         let cores = self.entries.iter().filter_map(|node| node.core.as_ref());
         cores.map(|core| core.drained_halls().clone()).collect()
     }
 
-    /// The sides whose core turns starts away because their hall is drained.
+    /// Returns the sides whose core refuses starts because their hall is drained.
     pub fn draining_sides(&self) -> Vec<usize> {
         let sides = self.sides.iter().enumerate();
         let draining = sides.filter(|(_, node)| {
@@ -112,84 +114,86 @@
         let revision = self.drained.revision + 1;
         self.drained = Arc::new(DrainedHalls { revision, halls });
         for entry in 0..self.settings.entries {
-            self.plan_read_drained(entry, HEARD_WITHIN);
+            self.plan_read_drained(entry, MAX_READ_DELAY);
         }
     }
 
-    /// An entry reads the store within a time, or once it is back in touch with it.
+    /// Schedules a read of the drained halls by an entry, after a random delay of at most `within`
+    /// microseconds.
     pub(super) fn plan_read_drained(&mut self, entry: usize, within: u64) {
-        let life = self.entries[entry].life;
+        let incarnation = self.entries[entry].incarnation;
         let delay = self.rng.random_range(1..=within);
-        self.later(delay, Act::ReadDrained { entry, life });
+        self.schedule_in(delay, Action::ReadDrained { entry, incarnation });
     }
 
-    pub(super) fn read_drained(&mut self, entry: usize, life: u64) {
-        if self.entries[entry].life != life {
+    pub(super) fn read_drained(&mut self, entry: usize, incarnation: u64) {
+        if self.entries[entry].incarnation != incarnation {
             return;
         }
-        let away_until = self.store_away_until[entry];
-        if away_until > self.now {
-            let back = away_until - self.now + READ_AGAIN_WITHIN;
+        let unreachable_until = self.store_unreachable_until[entry];
+        if unreachable_until > self.now {
+            let back = unreachable_until - self.now + MAX_REREAD_DELAY;
             self.plan_read_drained(entry, back);
             return;
         }
         let mut drained = Arc::clone(&self.drained);
-        self.bend(&mut drained);
+        self.distort(&mut drained);
         self.step_entry(entry, SchedulerEvent::DrainedHalls(drained));
     }
 
-    /// An entry that has just started reads which halls are drained before it takes a job.
+    /// Makes an entry that has just started read the drained halls before it accepts a job.
     pub(super) fn read_drained_at_start(&mut self, entry: usize) {
         if self.drain_variant != DrainVariant::ForgottenOnRestart {
-            let life = self.entries[entry].life;
-            self.read_drained(entry, life);
+            let incarnation = self.entries[entry].incarnation;
+            self.read_drained(entry, incarnation);
         }
     }
 
-    /// Whether an entry does not know yet which halls are drained, and goes by that.
+    /// Returns whether an entry has not read the drained halls yet although its variant requires that.
     pub(super) fn lacks_drained_halls(&self, entry: usize) -> bool {
         let core = self.entries[entry].core.as_ref();
         let known = core.map_or(0, |core| core.drained_halls().revision);
-        let is_right = self.drain_variant != DrainVariant::ForgottenOnRestart;
-        is_right && known == 0
+        let must_read = self.drain_variant != DrainVariant::ForgottenOnRestart;
+        must_read && known == 0
     }
 
-    /// What a wrong way makes of a report of a side.
-    pub(super) fn bend_report(&mut self, report: &mut SideReport) {
+    /// Changes a side's report as the selected wrong variant does.
+    pub(super) fn distort_report(&mut self, report: &mut SideReport) {
         match report {
-            SideReport::Hello(hello) => self.bend(&mut hello.drained),
+            SideReport::Hello(hello) => self.distort(&mut hello.drained),
             SideReport::Status(SideStatus {
                 drained: Some(drained),
                 ..
-            }) => self.bend(drained),
+            }) => self.distort(drained),
             _ => {}
         }
     }
 
-    /// What a wrong way makes of an order of an entry.
-    pub(super) fn bend_order(&mut self, order: &mut EntryOrder) {
-        let news = match order {
+    /// Changes an entry's order as the selected wrong variant does.
+    pub(super) fn distort_order(&mut self, order: &mut EntryOrder) {
+        let update = match order {
             EntryOrder::Welcome(welcome) => &mut welcome.update,
             EntryOrder::Heartbeat {
-                update: Some(news), ..
-            } => news,
+                update: Some(update),
+                ..
+            } => update,
             _ => return,
         };
         match self.drain_variant {
-            DrainVariant::SidesDoNotEnforce => news.drained = Arc::default(),
-            _ => self.bend(&mut news.drained),
+            DrainVariant::SidesDoNotEnforce => update.drained = Arc::default(),
+            _ => self.distort(&mut update.drained),
         }
     }
 
-    /// Makes the word that comes last the newest one.
-    fn bend(&mut self, drained: &mut Arc<DrainedHalls>) {
+    /// Gives the update that arrives last the highest revision if the variant is `LastMessageWins`.
+    fn distort(&mut self, drained: &mut Arc<DrainedHalls>) {
         if self.drain_variant == DrainVariant::LastMessageWins && drained.revision > 0 {
-            self.words_heard += 1;
-            Arc::make_mut(drained).revision = WORDS_ABOVE + self.words_heard;
+            self.renumbered_updates += 1;
+            Arc::make_mut(drained).revision = RENUMBERED_FROM + self.renumbered_updates;
         }
     }
 
-    /// Notes a start in a hall that has been drained for some time.
+    /// Records a start in a hall that is drained, with the time since the drain.
     pub(super) fn check_drained(&mut self, side: usize, run: RunId) {
         if let Some(drained_at) = self.drained_at.get(&hall_of(side)) {
             let after = self.now - drained_at;
--- a/crates/mastknot_virtual/src/jobs/strikes.rs
+++ b/crates/mastknot_virtual/src/jobs/fault_handling.rs
@@ -1,35 +1,35 @@
-//! Faults, as they strike.
+//! Applies the scheduled faults.
 
 use mastknot_core::scheduler::CallerId;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::JobSystem;
 use super::{Direction, JobFault};
 
 impl JobSystem {
-    pub(super) fn strike(&mut self, fault: JobFault) {
+    pub(super) fn apply_fault(&mut self, fault: JobFault) {
         match fault {
             JobFault::KillEntry { entry, down } => {
                 self.kill_entry(entry);
-                self.later(down.as_micros() as u64, Act::StartEntry { entry });
+                self.schedule_in(down.as_micros() as u64, Action::StartEntry { entry });
             }
             JobFault::PauseEntry { entry, time } => {
-                self.entries[entry].frozen_until = self.now + time.as_micros() as u64;
+                self.entries[entry].paused_until = self.now + time.as_micros() as u64;
                 self.disturb_callers(entry);
             }
             JobFault::SuspendEntry { entry, time } => {
-                self.entries[entry].fall_asleep(self.now, time);
+                self.entries[entry].suspend(self.now, time);
                 self.disturb_callers(entry);
             }
             JobFault::SuspendSide { side, time } => {
-                self.sides[side].fall_asleep(self.now, time);
+                self.sides[side].suspend(self.now, time);
             }
             JobFault::KillSide { side, down } => {
                 self.kill_side(side);
-                self.later(down.as_micros() as u64, Act::StartSide { side });
+                self.schedule_in(down.as_micros() as u64, Action::StartSide { side });
             }
             JobFault::PauseSide { side, time } => {
-                self.sides[side].frozen_until = self.now + time.as_micros() as u64;
+                self.sides[side].paused_until = self.now + time.as_micros() as u64;
             }
             JobFault::PartitionLink {
                 entry,
@@ -38,12 +38,12 @@
                 time,
             } => {
                 let until = self.now + time.as_micros() as u64;
-                let cut = self.cuts.entry((entry, side)).or_default();
+                let disconnection = self.disconnections.entry((entry, side)).or_default();
                 if direction != Direction::ToEntry {
-                    cut.to_side_until = until;
+                    disconnection.to_side_until = until;
                 }
                 if direction != Direction::ToSide {
-                    cut.to_entry_until = until;
+                    disconnection.to_entry_until = until;
                 }
             }
             JobFault::ResetLink { entry, side } => self.reset_link(entry, side),
@@ -54,13 +54,13 @@
             JobFault::CrashTarget {
                 side,
                 down,
-                is_silent: is_dark,
+                is_silent,
             } => {
-                self.crash_target(side, is_dark);
-                self.later(down.as_micros() as u64, Act::StartTarget { side });
+                self.crash_target(side, is_silent);
+                self.schedule_in(down.as_micros() as u64, Action::StartTarget { side });
             }
             JobFault::DelayReports { side, time } => {
-                self.targets[side].reports_held_until = self.now + time.as_micros() as u64;
+                self.targets[side].reports_delayed_until = self.now + time.as_micros() as u64;
             }
             JobFault::Resize {
                 side,
@@ -68,25 +68,25 @@
                 time,
             } => {
                 self.resize_target(side, cpu_millis);
-                self.later(time.as_micros() as u64, Act::ResizeOver { side });
+                self.schedule_in(time.as_micros() as u64, Action::ResizeOver { side });
             }
             JobFault::Misbehave {
                 side,
-                behaviour: mood,
+                behaviour,
                 time,
             } => {
                 if let Some(target) = &mut self.targets[side].target {
-                    target.mood = mood;
+                    target.behaviour = behaviour;
                 }
-                self.later(time.as_micros() as u64, Act::MoodOver { side });
+                self.schedule_in(time.as_micros() as u64, Action::MisbehaviourOver { side });
             }
-            JobFault::DelayRequests { entry, time } => self.hold_requests(entry, time),
+            JobFault::DelayRequests { entry, time } => self.delay_requests(entry, time),
             JobFault::BreakCallers { entry } => self.break_callers(entry),
             JobFault::StallEntry { entry, time } => self.stall_entry(entry, time),
         }
     }
 
-    /// An entry stands still: its callers may miss their answers.
+    /// Marks the callers of a paused entry, because they may miss their answers.
     pub(super) fn disturb_callers(&mut self, entry: usize) {
         let disturbed = self
             .callers
@@ -98,20 +98,20 @@
     pub(super) fn kill_entry(&mut self, entry: usize) {
         let node = &mut self.entries[entry];
         node.core = None;
-        node.life += 1;
+        node.incarnation += 1;
         let open = std::mem::take(&mut node.open);
         for session in open {
             self.drop_queue(session, true);
             let Some((_, side)) = self.sessions.get(&session).copied() else {
                 continue;
             };
-            let life = self.sides[side].life;
+            let incarnation = self.sides[side].incarnation;
             let at = self.arrival(session, true);
             self.schedule.add(
                 at,
-                Act::DownAtSide {
+                Action::LinkDownAtSide {
                     side,
-                    life,
+                    incarnation,
                     session,
                 },
             );
@@ -127,21 +127,21 @@
     pub(super) fn kill_side(&mut self, side: usize) {
         let node = &mut self.sides[side];
         node.core = None;
-        node.life += 1;
-        self.targets[side].open_look = None;
+        node.incarnation += 1;
+        self.targets[side].open_probe = None;
         let open = std::mem::take(&mut self.sides[side].open);
         for session in open {
             self.drop_queue(session, false);
             let Some((entry, _)) = self.sessions.get(&session).copied() else {
                 continue;
             };
-            let life = self.entries[entry].life;
+            let incarnation = self.entries[entry].incarnation;
             let at = self.arrival(session, false);
             self.schedule.add(
                 at,
-                Act::DownAtEntry {
+                Action::LinkDownAtEntry {
                     entry,
-                    life,
+                    incarnation,
                     session,
                 },
             );
--- a/crates/mastknot_virtual/src/jobs/job_audit.rs
+++ b/crates/mastknot_virtual/src/jobs/job_audit.rs
@@ -3,102 +3,104 @@
 
 use mastknot_core::job::{JobAnswer, JobId, LeaseTerms, RunId, TaskRef};
 
-/// A promise that was broken.
+/// Violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobViolation {
     /// A task ran twice at the same time.
     RanConcurrently {
-        /// The task.
+        /// Task that ran twice.
         task: TaskRef,
-        /// Its earlier run, at its target.
+        /// Target and id of the earlier run.
         first: (usize, RunId),
-        /// The later one.
+        /// Target and id of the later run.
         second: (usize, RunId),
-        /// When, in microseconds.
+        /// Time of the second start, in microseconds.
         at: u64,
     },
-    /// A task started although all answers to its job said that it would not run.
+    /// A task started although all answers to its job stated that it would not run.
     RefusedAndRan {
-        /// The job.
+        /// Job that was refused.
         job: JobId,
     },
-    /// A job was answered as completed although a task had not done its work.
+    /// A job was answered as completed although one of its tasks was not done.
     CompletedWithoutTask {
-        /// The task.
+        /// Task that was not done.
         task: TaskRef,
     },
-    /// A start brought a target over its room.
+    /// A start made the runs of a target exceed its capacity.
     StartedWithoutCapacity {
-        /// The run.
+        /// Run that was started.
         run: RunId,
-        /// What all runs took then, in thousandths of a core.
+        /// Processor time that all runs of the target used then, in thousandths of a core.
         used_cpu_millis: u32,
     },
-    /// A task that crashes its targets was started again and again.
+    /// A task that crashes targets was started too often after this was known.
     StartedDespiteCrashes {
-        /// The task.
+        /// Task that crashes targets.
         task: TaskRef,
-        /// How many targets had crashed under it.
+        /// Number of targets that the task had crashed.
         crashes: u32,
-        /// When, in microseconds.
+        /// Time of the start, in microseconds.
         at: u64,
     },
     /// A task ran although all callers of its job had left long before.
     RanAfterCallersLeft {
-        /// The job.
+        /// Job whose callers had left.
         job: JobId,
-        /// How long after they had left it still ran, in microseconds.
+        /// Time for which the task ran after the callers had left, in microseconds.
         after: u64,
     },
     /// A task started in a hall that had been drained for too long.
     StartedInDrainedHall {
-        /// The run.
+        /// Run that was started.
         run: RunId,
-        /// How long after the hall was drained, in microseconds.
+        /// Time from the drain of the hall to the start, in microseconds.
         after: u64,
     },
-    /// A caller got no answer within its time.
+    /// A caller received no answer within its time limit.
     Unanswered {
-        /// The job.
+        /// Job that the caller submitted.
         job: JobId,
-        /// When it was handed in, in microseconds.
+        /// Time at which the job was submitted, in microseconds.
         submitted_at: u64,
     },
 }
 
-/// Nothing starts in a hall that was drained so long ago, in microseconds: the users' bound.
-const DRAINED_WITHIN: u64 = 5_000_000;
-/// After so many crashes of targets under a task it must be known what it does.
-const CRASHES_THAT_TELL: u32 = 3;
-/// So many starts may still follow: they were on their way, or their entry was out of touch.
-const STARTS_AFTER: u32 = 2;
+/// Maximum time from the drain of a hall to the last start in it, in microseconds. The users require this
+/// bound.
+const MAX_DRAIN_DELAY: u64 = 5_000_000;
+/// Number of crashes of targets after which a task must be known to crash them.
+const CONFIRMING_CRASHES: u32 = 3;
+/// Number of starts that may still follow, because the orders were under way or their entry was disconnected.
+const MAX_STARTS_AFTER: u32 = 2;
 
-/// What a caller was told.
+/// Answer that a caller received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenAnswer {
-    /// The answer.
+    /// Content of the answer.
     pub answer: JobAnswer,
-    /// How long the caller waited for it.
+    /// Time for which the caller waited.
     pub after: Duration,
 }
 
-/// Watches targets and callers, and notes broken promises.
+/// Observes targets and callers and records violations of the guarantees.
 #[derive(Clone, Debug, Default)]
 pub struct JobAudit {
     running: BTreeMap<TaskRef, Vec<(usize, RunId)>>,
     started: BTreeSet<JobId>,
     done: BTreeSet<TaskRef>,
-    /// At which target each task has done its work last, and when, in microseconds.
+    /// Target at which each task was last done, and the time in microseconds.
     last_done: BTreeMap<TaskRef, (usize, u64)>,
     answers: BTreeMap<JobId, Vec<GivenAnswer>>,
-    /// How often each task has started.
+    /// Number of starts of each task.
     starts: BTreeMap<TaskRef, u32>,
-    /// Targets that tasks have crashed, and the starts after that could be known.
+    /// Number of targets that each task has crashed.
     crashes: BTreeMap<TaskRef, u32>,
-    starts_in_spite: BTreeMap<TaskRef, u32>,
-    /// When the callers of jobs had left, in microseconds.
+    /// Number of starts of each task after it was known to crash targets.
+    starts_despite_crashes: BTreeMap<TaskRef, u32>,
+    /// Time at which the callers of a job had left, in microseconds.
     left: BTreeMap<JobId, u64>,
-    /// How long after its hall was drained the last task has started there, in microseconds.
+    /// Longest time from the drain of a hall to a start in it, in microseconds.
     latest_drained_start: u64,
     drained_starts: usize,
     violations: Vec<JobViolation>,
@@ -108,13 +110,13 @@
     pub(super) fn started_in_drained_hall(&mut self, run: RunId, after: u64) {
         self.drained_starts += 1;
         self.latest_drained_start = self.latest_drained_start.max(after);
-        if after > DRAINED_WITHIN {
+        if after > MAX_DRAIN_DELAY {
             let violation = JobViolation::StartedInDrainedHall { run, after };
             self.violations.push(violation);
         }
     }
 
-    /// How long after a hall was drained the last task has started there.
+    /// Returns the longest time from the drain of a hall to a start in it.
     pub fn latest_drained_start(&self) -> Duration {
         Duration::from_micros(self.latest_drained_start)
     }
@@ -135,36 +137,36 @@
         self.check_crashes(at, run.task);
     }
 
-    /// How often a task has started.
+    /// Returns the number of starts of a task.
     pub fn starts_of(&self, task: TaskRef) -> u32 {
         self.starts.get(&task).copied().unwrap_or_default()
     }
 
     fn check_crashes(&mut self, at: u64, task: TaskRef) {
         let crashes = self.crashes.get(&task).copied().unwrap_or_default();
-        if crashes < CRASHES_THAT_TELL {
+        if crashes < CONFIRMING_CRASHES {
             return;
         }
-        let starts = self.starts_in_spite.entry(task).or_default();
+        let starts = self.starts_despite_crashes.entry(task).or_default();
         *starts += 1;
-        if *starts > STARTS_AFTER {
+        if *starts > MAX_STARTS_AFTER {
             self.violations
                 .push(JobViolation::StartedDespiteCrashes { task, crashes, at });
         }
     }
 
-    pub(super) fn started_without_room(&mut self, run: RunId, used_cpu_millis: u32) {
+    pub(super) fn started_without_capacity(&mut self, run: RunId, used_cpu_millis: u32) {
         self.violations.push(JobViolation::StartedWithoutCapacity {
             run,
             used_cpu_millis,
         });
     }
 
-    pub(super) fn crashed_under(&mut self, task: TaskRef) {
+    pub(super) fn record_crash(&mut self, task: TaskRef) {
         *self.crashes.entry(task).or_default() += 1;
     }
 
-    /// How many targets a task has crashed.
+    /// Returns the number of targets that a task has crashed.
     pub fn crashed_targets(&self, task: TaskRef) -> u32 {
         self.crashes.get(&task).copied().unwrap_or_default()
     }
@@ -173,7 +175,7 @@
         self.left.insert(job, at);
     }
 
-    /// Whether a run went on for longer than any lease under which it may run after its callers had left.
+    /// Records a violation if a run lasted longer after its callers had left than any lease allows.
     fn check_left(&mut self, at: u64, job: JobId) {
         let Some(left) = self.left.get(&job) else {
             return;
@@ -196,7 +198,7 @@
         }
     }
 
-    /// At which target a task has done its work last, and when.
+    /// Returns the target at which a task was last done, and the time.
     pub fn last_done(&self, task: TaskRef) -> Option<(usize, Duration)> {
         let (target, at) = self.last_done.get(&task)?;
         Some((*target, Duration::from_micros(*at)))
@@ -213,14 +215,12 @@
         self.answers.entry(job).or_default().push(given);
     }
 
-    pub(super) fn unanswered(&mut self, job: JobId, handed_in: u64) {
-        self.violations.push(JobViolation::Unanswered {
-            job,
-            submitted_at: handed_in,
-        });
+    pub(super) fn unanswered(&mut self, job: JobId, submitted_at: u64) {
+        self.violations
+            .push(JobViolation::Unanswered { job, submitted_at });
     }
 
-    /// Broken promises; `unanswered` are jobs of which a caller got no answer at all.
+    /// Returns all violations. `unanswered` contains the jobs of which a caller received no answer at all.
     pub(super) fn finish(&self, unanswered: &BTreeSet<JobId>) -> Vec<JobViolation> {
         let is_refusal = |given: &GivenAnswer| matches!(given.answer, JobAnswer::Refused { .. });
         let refused = self.answers.iter().filter(|(job, answers)| {
@@ -232,13 +232,13 @@
         self.violations.iter().cloned().chain(refused).collect()
     }
 
-    /// How many answers of a kind were given.
+    /// Returns the number of answers that match a condition.
     pub fn count(&self, is_kind: impl Fn(&JobAnswer) -> bool) -> usize {
         let answers = self.answers.values().flatten();
         answers.filter(|given| is_kind(&given.answer)).count()
     }
 
-    /// How many of these jobs were answered as completed.
+    /// Returns the number of the given jobs that were answered as completed.
     pub fn completed(&self, jobs: &[JobId]) -> usize {
         let is_completed = |job: &&JobId| {
             let mut answers = self.answers_to(**job).iter();
@@ -247,12 +247,12 @@
         jobs.iter().filter(is_completed).count()
     }
 
-    /// What the callers of a job were told, in order.
+    /// Returns the answers to the callers of a job, in the order in which they were given.
     pub fn answers_to(&self, job: JobId) -> &[GivenAnswer] {
         self.answers.get(&job).map_or(&[], Vec::as_slice)
     }
 
-    /// Jobs of which a task has started.
+    /// Returns the number of jobs of which a task has started.
     pub fn started_jobs(&self) -> usize {
         self.started.len()
     }
--- a/crates/mastknot_virtual/src/jobs/job_faults.rs
+++ b/crates/mastknot_virtual/src/jobs/job_faults.rs
@@ -2,156 +2,156 @@
 
 use super::TargetBehaviour;
 
-/// Which way a link is cut.
+/// Direction in which a link is disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Nothing arrives from the entry.
+    /// The side receives nothing from the entry.
     ToSide,
-    /// Nothing arrives from the side.
+    /// The entry receives nothing from the side.
     ToEntry,
-    /// Nothing arrives.
+    /// Neither end receives anything.
     Both,
 }
 
-/// Something that goes wrong.
+/// Fault that a test schedules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobFault {
     /// An entry is killed and starts again.
     KillEntry {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// For how long it is gone.
+        /// Time until the process or target starts again.
         down: Duration,
     },
-    /// An entry stands still.
+    /// An entry is paused; its clock continues to run.
     PauseEntry {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// An entry's VM is suspended: as a freeze, but a steady clock stands still meanwhile.
+    /// The VM of an entry is suspended. Unlike in a pause, a steady clock stops meanwhile.
     SuspendEntry {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A side's VM is suspended; its target runs on.
+    /// The VM of a side is suspended; its target continues to run.
     SuspendSide {
-        /// The side.
+        /// Index of the side.
         side: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A side is killed and starts again; its target runs on.
+    /// A side is killed and starts again; its target continues to run.
     KillSide {
-        /// The side.
+        /// Index of the side.
         side: usize,
-        /// For how long it is gone.
+        /// Time until the process or target starts again.
         down: Duration,
     },
-    /// A side stands still; its target runs on.
+    /// A side is paused; its target continues to run.
     PauseSide {
-        /// The side.
+        /// Index of the side.
         side: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A link carries nothing; what was sent arrives when the cut is over.
+    /// A link delivers nothing. Messages sent meanwhile arrive when the fault is over.
     PartitionLink {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// The side.
+        /// Index of the side.
         side: usize,
-        /// Which way.
+        /// Direction in which messages are held back.
         direction: Direction,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A link is reset; what was on its way is lost.
+    /// A link is reset, and messages under way are lost.
     ResetLink {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// The side.
+        /// Index of the side.
         side: usize,
     },
-    /// A link carries nothing any more, for good and without a reset; a new one works.
+    /// A link delivers nothing from then on, without a reset. A new link works.
     SilenceLink {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// The side.
+        /// Index of the side.
         side: usize,
     },
-    /// An entry's link carries a tenth of what it usually does.
+    /// The link of an entry has a tenth of its usual bandwidth.
     ThrottleEntry {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A target dies with all that runs on it and comes again as another life.
+    /// A target dies with all its runs and starts again as a new incarnation.
     CrashTarget {
-        /// The target's side.
+        /// Index of the target's side.
         side: usize,
-        /// For how long it is gone.
+        /// Time until the process or target starts again.
         down: Duration,
-        /// Whether it is silent meanwhile, in place of refusing connections.
+        /// Whether the target is silent while it is down. Otherwise it refuses connections.
         is_silent: bool,
     },
-    /// What a target reports of itself is held up, and arrives when this is over.
+    /// The reports of a target are delayed and arrive when the fault is over.
     DelayReports {
-        /// The target's side.
+        /// Index of the target's side.
         side: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A target has less room, or more, for a while; what runs goes on.
+    /// The capacity of a target changes for a time; current runs continue.
     Resize {
-        /// The target's side.
+        /// Index of the target's side.
         side: usize,
-        /// Its processor, in thousandths of a core.
+        /// Processor capacity, in thousandths of a core.
         cpu_millis: u32,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A target behaves badly for a while.
+    /// A target misbehaves for a time.
     Misbehave {
-        /// The target's side.
+        /// Index of the target's side.
         side: usize,
-        /// How.
+        /// Behaviour of the target meanwhile.
         behaviour: TargetBehaviour,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// What callers send to an entry is held up, and arrives when this is over: requests, and behind them the
-    /// departures of callers that have left meanwhile.
+    /// Messages of callers to an entry are delayed and arrive when the fault is over: requests, and behind
+    /// them the departures of callers that have left meanwhile.
     DelayRequests {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// The connections of an entry's callers break on the callers' side alone: the entry is told nothing.
+    /// The connections of an entry's callers break at the callers' end alone; the entry receives no notice.
     BreakCallers {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
-    /// An entry stands still, and reads the requests that came meanwhile when it wakes, the departures of their
-    /// callers behind them.
+    /// An entry is paused. When it resumes, it reads the requests that arrived meanwhile and then the
+    /// departures of their callers.
     StallEntry {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
 }
 
-/// A fault and when it strikes.
+/// Fault with the time at which it occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobFaultPlan {
-    /// Since the start.
+    /// Time since the start of the simulation.
     pub at: Duration,
-    /// The fault.
+    /// Fault that occurs.
     pub fault: JobFault,
 }
--- a/crates/mastknot_virtual/src/jobs/job_system.rs
+++ b/crates/mastknot_virtual/src/jobs/job_system.rs
@@ -13,173 +13,183 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::act::Act;
+use super::action::Action;
 use super::draining::{DrainVariant, nothing_drained};
+use super::limited_links::{LinkRecord, Pipe};
 use super::node::Node;
 use super::profile_store::ProfileStore;
 use super::target_slot::TargetSlot;
-use super::thin_links::{LinkRecord, Pipe};
-use super::variants::NamesKept;
+use super::variants::TargetNaming;
 use super::virtual_target::TargetBehaviour;
 use super::{JobAudit, JobFaultPlan, StepRecord, TaskCrash};
 use crate::system::Schedule;
 
-/// One way between an entry and a side, in microseconds.
+/// Delay in one direction between an entry and a side, in microseconds.
 pub(super) const LINK_DELAY: u64 = 900;
-/// One way between a side and its target.
+/// Delay in one direction between a side and its target, in microseconds.
 pub(super) const TARGET_DELAY: u64 = 100;
-/// Between two heartbeats of a target.
-pub(super) const BEAT: u64 = 1_500_000;
-/// After this a caller without a result sends its job again.
+/// Interval between two heartbeats of a target, in microseconds.
+pub(super) const HEARTBEAT_INTERVAL: u64 = 1_500_000;
+/// Time after which a caller without a result submits its job again, in microseconds.
 pub(super) const RESEND_AFTER: u64 = 1_300_000;
-/// How long a caller waits.
+/// Time for which a caller waits for an answer, in microseconds.
 pub(super) const CALLER_TIME: u64 = 2_000_000;
-/// What an answer may be late by.
+/// Time by which an answer may be late, in microseconds.
 pub(super) const ANSWER_SLACK: u64 = 60_000;
-/// How often a caller sends a job.
+/// Maximum number of submissions of a job.
 pub(super) const MAX_TRIES: u32 = 3;
-/// Sides and targets stand in so many halls in turn.
+/// Number of halls. Entries, sides and targets are assigned to them in turn.
 pub(super) const HALLS: usize = 3;
-/// How long targets hold their runs at most, as a rule.
-const LONGEST_HOLD: Duration = Duration::from_secs(1);
-/// A millisecond in microseconds.
+/// Default maximum time for which targets hold their runs without a renewal.
+const MAX_HOLD: Duration = Duration::from_secs(1);
+/// Number of microseconds in a millisecond.
 pub(super) const MILLI: u64 = 1_000;
 
-/// How a [`JobSystem`] is built.
+/// Settings of a [`JobSystem`].
 #[derive(Clone, Copy, Debug)]
 pub struct JobSystemSettings {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Sides, each with a target.
+    /// Number of sides, each of which has a target.
     pub sides: usize,
-    /// The processor of a target, in thousandths of a core.
+    /// Processor capacity of a target, in thousandths of a core.
     pub cpu_millis: u32,
-    /// The bandwidth of an entry's link in each direction, in bytes a second; none is no limit.
+    /// Bandwidth of an entry's link in each direction, in bytes per second; `None` means unlimited.
     pub entry_link: Option<u64>,
-    /// How many links an entry uses for starts as a rule; none is the usual setting.
+    /// Number of links that an entry uses for starts; `None` keeps the scheduler's defaults.
     pub active_links: Option<usize>,
-    /// For everything that is left to chance.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
+/// Times until which a link delivers nothing in each direction, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Cut {
+pub(super) struct Disconnection {
     pub(super) to_side_until: u64,
     pub(super) to_entry_until: u64,
 }
 
+/// Caller that waits for the answer to one submission of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Caller {
     pub(super) job: JobId,
     pub(super) entry: usize,
-    pub(super) entry_life: u64,
-    pub(super) handed_in: u64,
+    pub(super) entry_incarnation: u64,
+    pub(super) submitted_at: u64,
+    /// Whether a fault of the entry may prevent the answer, so that a missing answer is no violation.
     pub(super) was_disturbed: bool,
-    /// Its request was held up on its way.
-    pub(super) is_late: bool,
+    /// Whether the caller's request was delayed on its way.
+    pub(super) is_delayed: bool,
 }
 
+/// Job that callers submit, with the state of its submissions.
 #[derive(Clone, Debug)]
 pub(super) struct VirtualJob {
     pub(super) request: JobRequest,
+    /// Run time of each task, in microseconds.
     pub(super) work: u64,
-    /// The queue that it is handed in to.
+    /// Queue to which the job is submitted.
     pub(super) queue: Arc<str>,
+    /// Number of submissions so far.
     pub(super) tries: u32,
-    /// How often its caller has come back after a refusal.
+    /// Number of retries after a refusal.
     pub(super) returns: u32,
-    /// Its callers have left for good.
+    /// Whether the callers have left and submit the job no more.
     pub(super) has_left: bool,
 }
 
-/// Entries, sides, fake targets and callers in virtual time.
+/// Simulation of entries, sides, fake targets and callers in virtual time.
 pub struct JobSystem {
     pub(super) settings: JobSystemSettings,
     pub(super) now: u64,
-    pub(super) schedule: Schedule<Act>,
+    pub(super) schedule: Schedule<Action>,
     pub(super) rng: StdRng,
     pub(super) entries: Vec<Node<JobScheduler>>,
     pub(super) sides: Vec<Node<TargetAgent>>,
     pub(super) targets: Vec<TargetSlot>,
-    pub(super) cuts: HashMap<(usize, usize), Cut>,
+    /// Current and past disconnections of links, by entry and side.
+    pub(super) disconnections: HashMap<(usize, usize), Disconnection>,
+    /// Entry and side of each session.
     pub(super) sessions: HashMap<SessionId, (usize, usize)>,
-    /// Links that carry nothing any more.
+    /// Links that deliver nothing any more, without a reset.
     pub(super) silenced: HashSet<SessionId>,
-    /// When each link was made.
+    /// Time at which each link was opened, in microseconds.
     pub(super) opened: HashMap<SessionId, u64>,
     pub(super) backoffs: HashMap<(usize, usize), DialBackoff>,
+    /// Latest arrival time in each direction of a session, in microseconds; `true` is the direction to the side.
     pub(super) last_arrival: HashMap<(SessionId, bool), u64>,
     pub(super) next_session: u64,
     pub(super) next_caller: u64,
     pub(super) callers: BTreeMap<CallerId, Caller>,
     pub(super) jobs: BTreeMap<JobId, VirtualJob>,
-    /// Jobs of which a caller got no answer.
+    /// Jobs of which a caller received no answer.
     pub(super) unanswered: BTreeSet<JobId>,
-    /// Whether the processes read a clock that stands still while their VM is suspended.
-    pub(super) has_steady_clocks: bool,
-    /// Whether the sides hear only of the room that targets have at first.
+    /// Whether the processes read a clock that stops while their VM is suspended.
+    pub(super) clocks_stop_during_suspension: bool,
+    /// Whether the reports of targets always state their initial capacity.
     pub(super) hides_resizes: bool,
-    /// Whether targets start again under the names that they had.
-    pub(super) names_kept: NamesKept,
-    /// The speeds of targets in percent, in turn; none if they are alike.
+    /// Whether targets keep their names over a restart, and how incarnations are told apart.
+    pub(super) target_naming: TargetNaming,
+    /// Speeds in percent, assigned to the targets in turn; empty if all targets are alike.
     pub(super) speeds: Vec<u64>,
-    /// The longest time for which targets hold their runs.
-    pub(super) longest_hold: Duration,
-    /// Whether targets start what does not fit.
-    pub(super) has_unguarded_targets: bool,
-    /// Tasks that every target runs as if it were in this mood.
-    pub(super) task_moods: HashMap<TaskRef, TargetBehaviour>,
+    /// Maximum time for which targets hold their runs without a renewal.
+    pub(super) max_hold: Duration,
+    /// Whether targets start runs that exceed their capacity.
+    pub(super) disables_capacity_checks: bool,
+    /// Tasks that every target runs as if the target had this behaviour.
+    pub(super) task_behaviours: HashMap<TaskRef, TargetBehaviour>,
     /// Tasks that crash the targets on which they start.
     pub(super) crashing: HashMap<TaskRef, TaskCrash>,
     pub(super) audit: JobAudit,
-    /// How often a target listed a run that its side had called over.
+    /// Number of runs listed by targets that no entry claimed when their side reconciled them.
     pub(super) runs_unclaimed: u64,
-    /// Each entry's ways out and in.
+    /// Outgoing and incoming queue of each entry's link.
     pub(super) pipes: Vec<(Pipe, Pipe)>,
-    /// Until when each entry's link carries a tenth of what it usually does.
+    /// Time until which each entry's link has a tenth of its bandwidth, in microseconds.
     pub(super) throttled_until: Vec<u64>,
     pub(super) link_record: LinkRecord,
     pub(super) entry_steps: StepRecord,
     pub(super) side_steps: StepRecord,
-    /// What the store has.
+    /// Configuration in the store.
     pub(super) published: Option<ConfigDocument>,
     pub(super) is_store_reachable: bool,
-    /// The halls that are drained in the store, and when they were.
+    /// Drained halls in the store.
     pub(super) drained: Arc<DrainedHalls>,
+    /// Time at which each drained hall was drained, in microseconds.
     pub(super) drained_at: BTreeMap<Hall, u64>,
-    /// Until when each entry is out of touch with the store.
-    pub(super) store_away_until: Vec<u64>,
-    /// What a wrong way does with the news of drained halls.
+    /// Time until which each entry is disconnected from the store, in microseconds.
+    pub(super) store_unreachable_until: Vec<u64>,
+    /// Variant of how the processes handle updates of drained halls.
     pub(super) drain_variant: DrainVariant,
-    /// How often a wrong way has taken news of drained halls for the newest.
-    pub(super) words_heard: u64,
-    /// What targets have said of themselves, as the store has it.
-    pub(super) remembered_targets: HashMap<usize, TargetProfile>,
-    /// What entries have learned, as the store has it.
+    /// Number of updates of drained halls that the variant `LastMessageWins` has marked as the newest.
+    pub(super) renumbered_updates: u64,
+    /// Profiles of targets in the store, by side.
+    pub(super) stored_target_profiles: HashMap<usize, TargetProfile>,
+    /// Learned profile in the store.
     pub(super) profile_store: ProfileStore,
-    /// What each entry knows of it.
+    /// State of the learned profile at each entry.
     pub(super) ledgers: Vec<ProfileLedger>,
-    /// The last grant of each side, where each is told to two entries.
+    /// Last grant of each side if each grant is sent to two entries; `None` otherwise.
     pub(super) repeated_grants: Option<HashMap<usize, CapacityGrant>>,
-    /// The weights of halls that the store has.
+    /// Weights of halls in the store.
     pub(super) share_weights: Arc<ShareWeights>,
-    /// What decides on room that is short.
+    /// Settings of the decisions on scarce capacity.
     pub(super) scarcity: ScarcitySettings,
-    /// The priorities of queues; others have the highest.
+    /// Priorities of queues. Queues without a priority have the highest.
     pub(super) priorities: HashMap<Arc<str>, u32>,
-    /// How often a caller that was refused comes back when it is told to.
-    pub(super) most_returns: u32,
-    /// Until when what callers send to each entry is held up.
-    pub(super) requests_held_until: Vec<u64>,
+    /// Maximum number of retries of a refused caller, each at the time that the refusal named.
+    pub(super) max_returns: u32,
+    /// Time until which messages of callers to each entry are delayed, in microseconds.
+    pub(super) requests_delayed_until: Vec<u64>,
 }
 
 impl JobSystem {
-    /// A system whose processes have just started.
+    /// Creates a system whose processes have just started.
     pub fn new(settings: JobSystemSettings) -> Self {
         Self::with_scarcity(settings, ScarcitySettings::default())
     }
 
-    /// The same with other settings of what decides on room that is short.
+    /// Creates a system like [`JobSystem::new`], with other settings of the decisions on scarce capacity.
     pub fn with_scarcity(settings: JobSystemSettings, scarcity: ScarcitySettings) -> Self {
         let mut system = Self {
             settings,
@@ -189,7 +199,7 @@
             entries: (0..settings.entries).map(|_| Node::new()).collect(),
             sides: (0..settings.sides).map(|_| Node::new()).collect(),
             targets: Vec::new(),
-            cuts: HashMap::new(),
+            disconnections: HashMap::new(),
             sessions: HashMap::new(),
             silenced: HashSet::new(),
             opened: HashMap::new(),
@@ -200,13 +210,13 @@
             callers: BTreeMap::new(),
             jobs: BTreeMap::new(),
             unanswered: BTreeSet::new(),
-            has_steady_clocks: false,
+            clocks_stop_during_suspension: false,
             hides_resizes: false,
-            names_kept: NamesKept::None,
+            target_naming: TargetNaming::PerIncarnation,
             speeds: Vec::new(),
-            longest_hold: LONGEST_HOLD,
-            has_unguarded_targets: false,
-            task_moods: HashMap::new(),
+            max_hold: MAX_HOLD,
+            disables_capacity_checks: false,
+            task_behaviours: HashMap::new(),
             crashing: HashMap::new(),
             audit: JobAudit::default(),
             runs_unclaimed: 0,
@@ -219,31 +229,31 @@
             is_store_reachable: true,
             drained: nothing_drained(),
             drained_at: BTreeMap::new(),
-            store_away_until: vec![0; settings.entries],
+            store_unreachable_until: vec![0; settings.entries],
             drain_variant: DrainVariant::Correct,
-            words_heard: 0,
-            remembered_targets: HashMap::new(),
+            renumbered_updates: 0,
+            stored_target_profiles: HashMap::new(),
             profile_store: ProfileStore::default(),
             ledgers: vec![ProfileLedger::default(); settings.entries],
             repeated_grants: None,
             share_weights: Arc::default(),
             scarcity,
             priorities: HashMap::new(),
-            most_returns: 0,
-            requests_held_until: vec![0; settings.entries],
+            max_returns: 0,
+            requests_delayed_until: vec![0; settings.entries],
         };
         for _ in 0..settings.sides {
             system.targets.push(TargetSlot {
                 target: None,
-                lives: 0,
-                is_dark: false,
+                target_incarnation: 0,
+                is_silent: false,
                 calls: 0,
                 stops: 0,
-                open_look: None,
+                open_probe: None,
                 due_at: None,
-                reports_held_until: 0,
-                newest_number: 0,
-                births: 0,
+                reports_delayed_until: 0,
+                last_report_number: 0,
+                inferred_restarts: 0,
             });
         }
         (0..settings.sides).for_each(|side| system.start_target(side));
@@ -252,219 +262,247 @@
         system
     }
 
-    /// Plans a fault.
+    /// Schedules a fault.
     pub fn plan(&mut self, plan: JobFaultPlan) {
         let at = plan.at.as_micros() as u64;
-        self.schedule.add(at, Act::Fault(plan.fault));
+        self.schedule.add(at, Action::Fault(plan.fault));
     }
 
-    /// Runs until a time.
+    /// Runs the simulation until a time since the start.
     pub fn run_until(&mut self, until: Duration) {
         let until = until.as_micros() as u64;
         while let Some(at) = self.schedule.next_at().filter(|at| *at <= until) {
-            let Some((_, act)) = self.schedule.pop() else {
+            let Some((_, action)) = self.schedule.pop() else {
                 break;
             };
             self.now = self.now.max(at);
-            self.act(act);
+            self.perform(action);
         }
         self.now = until;
     }
 
-    /// What the clock of a process shows that was asleep for this long.
-    pub(super) fn moment(&self, asleep: u64) -> Moment {
-        Moment::from_micros(self.now - self.clock_lag(asleep))
+    /// Returns the time shown by the clock of a process whose VM was suspended for the given time.
+    pub(super) fn moment(&self, suspended_for: u64) -> Moment {
+        Moment::from_micros(self.now - self.clock_lag(suspended_for))
     }
 
-    /// By how much the clock of a process is behind that was asleep for this long.
-    pub(super) fn clock_lag(&self, asleep: u64) -> u64 {
-        match self.has_steady_clocks {
-            true => asleep,
+    /// Returns the lag of the clock of a process whose VM was suspended for the given time, in microseconds.
+    pub(super) fn clock_lag(&self, suspended_for: u64) -> u64 {
+        match self.clocks_stop_during_suspension {
+            true => suspended_for,
             false => 0,
         }
     }
 
-    pub(super) fn later(&mut self, delay: u64, act: Act) {
-        self.schedule.add(self.now + delay, act);
+    pub(super) fn schedule_in(&mut self, delay: u64, action: Action) {
+        self.schedule.add(self.now + delay, action);
     }
 
-    pub(super) fn act(&mut self, act: Act) {
-        if let Some(until) = self.frozen_until(&act) {
-            self.schedule.add(until, act);
+    pub(super) fn perform(&mut self, action: Action) {
+        if let Some(until) = self.paused_until(&action) {
+            self.schedule.add(until, action);
             return;
         }
-        match act {
-            Act::Dial { entry, side } => self.dial(entry, side),
-            Act::ToEntry {
+        match action {
+            Action::Dial { entry, side } => self.dial(entry, side),
+            Action::ToEntry {
                 entry,
-                life,
+                incarnation,
                 session,
                 report,
             } => {
                 let node = &self.entries[entry];
-                if node.life == life && node.open.contains(&session) {
+                if node.incarnation == incarnation && node.open.contains(&session) {
                     let mut reports = vec![*report];
-                    self.bend_report(&mut reports[0]);
+                    self.distort_report(&mut reports[0]);
                     self.repeat_grant(session, &mut reports[0]);
                     self.step_entry(entry, SchedulerEvent::FromSide { session, reports });
                 }
             }
-            Act::ToSide {
+            Action::ToSide {
                 side,
-                life,
+                incarnation,
                 session,
                 order,
             } => {
                 let node = &self.sides[side];
-                if node.life == life && node.open.contains(&session) {
+                if node.incarnation == incarnation && node.open.contains(&session) {
                     let mut orders = vec![*order];
-                    self.bend_order(&mut orders[0]);
+                    self.distort_order(&mut orders[0]);
                     self.step_side(side, AgentEvent::FromEntry { session, orders });
                 }
             }
-            Act::DownAtEntry {
+            Action::LinkDownAtEntry {
                 entry,
-                life,
+                incarnation,
                 session,
             } => {
-                if self.entries[entry].life == life && self.entries[entry].open.remove(&session) {
+                if self.entries[entry].incarnation == incarnation
+                    && self.entries[entry].open.remove(&session)
+                {
                     self.step_entry(entry, SchedulerEvent::LinkDown { session });
                 }
             }
-            Act::DownAtSide {
+            Action::LinkDownAtSide {
                 side,
-                life,
+                incarnation,
                 session,
             } => {
-                if self.sides[side].life == life && self.sides[side].open.remove(&session) {
+                if self.sides[side].incarnation == incarnation
+                    && self.sides[side].open.remove(&session)
+                {
                     self.step_side(side, AgentEvent::LinkDown { session });
                     self.redial(session);
                 }
             }
-            Act::TickEntry { entry, life } => {
+            Action::TickEntry { entry, incarnation } => {
                 let node = &mut self.entries[entry];
-                if node.life == life && node.takes_tick(self.now) {
+                if node.incarnation == incarnation && node.takes_tick(self.now) {
                     self.step_entry(entry, SchedulerEvent::Tick);
                 }
             }
-            Act::TickSide { side, life } => {
+            Action::TickSide { side, incarnation } => {
                 let node = &mut self.sides[side];
-                if node.life == life && node.takes_tick(self.now) {
+                if node.incarnation == incarnation && node.takes_tick(self.now) {
                     self.step_side(side, AgentEvent::Tick);
                 }
             }
-            Act::SideInput { side, life, event } => {
-                if self.sides[side].life == life {
+            Action::SideInput {
+                side,
+                incarnation,
+                event,
+            } => {
+                if self.sides[side].incarnation == incarnation {
                     let mut event = event;
-                    self.bend_target_event(side, &mut event);
+                    self.distort_target_event(side, &mut event);
                     self.step_side(side, *event);
                 }
             }
-            Act::TargetStart {
+            Action::TargetStart {
                 side,
-                life,
-                lives,
+                incarnation,
+                target_incarnation,
                 start,
                 is_answered,
             } => {
-                self.target_start(side, life, lives, &start, is_answered);
+                self.target_start(side, incarnation, target_incarnation, &start, is_answered);
             }
-            Act::TargetStop {
+            Action::TargetStop {
                 side,
-                life,
+                incarnation,
                 run,
                 token,
                 is_answered,
             } => {
-                self.target_stop(side, life, run, token, is_answered);
+                self.target_stop(side, incarnation, run, token, is_answered);
             }
-            Act::TargetLook { side, open, wait } => self.target_look(side, *open, wait),
-            Act::LookWaited { side, number } => self.answer_look(side, Some(number)),
-            Act::LookAnswered {
+            Action::TargetProbe { side, open, wait } => self.target_probe(side, *open, wait),
+            Action::ProbeWaited { side, number } => self.answer_probe(side, Some(number)),
+            Action::ProbeAnswered {
                 side,
-                lives,
+                target_incarnation,
                 open,
                 result,
-            } => self.look_answered(side, lives, &open, result),
-            Act::TargetDue { side } => self.advance_target(side),
-            Act::CrashUnder { side, lives, run } => self.crash_under(side, lives, run),
-            Act::Beat { side, lives } => self.beat(side, lives),
-            Act::TargetRecalled { side, life } => self.target_recalled(side, life),
-            Act::Submit { job, entry } => self.submit_now(job, entry),
-            Act::Leave { job } => self.callers_leave(job),
-            Act::Abandon {
+            } => self.probe_answered(side, target_incarnation, &open, result),
+            Action::TargetDue { side } => self.advance_target(side),
+            Action::CrashTargetOfRun {
+                side,
+                target_incarnation,
+                run,
+            } => self.crash_target_of_run(side, target_incarnation, run),
+            Action::Heartbeat {
+                side,
+                target_incarnation,
+            } => self.send_heartbeat(side, target_incarnation),
+            Action::TargetProfileRead { side, incarnation } => {
+                self.target_profile_read(side, incarnation)
+            }
+            Action::Submit { job, entry } => self.submit_now(job, entry),
+            Action::CallersLeave { job } => self.callers_leave(job),
+            Action::Abandon {
                 entry,
-                life,
+                incarnation,
                 caller,
             } => {
-                if self.entries[entry].life == life {
+                if self.entries[entry].incarnation == incarnation {
                     self.step_entry(entry, SchedulerEvent::Abandon { caller });
                 }
             }
-            Act::CallerTimeout { caller } => self.caller_timeout(caller),
-            Act::FromCaller { entry, life, event } => self.take_late(entry, life, *event),
-            Act::Fault(fault) => self.strike(fault),
-            Act::StartEntry { entry } if self.entries[entry].core.is_some() => {}
-            Act::StartSide { side } if self.sides[side].core.is_some() => {}
-            Act::StartEntry { entry } => self.start_entry(entry),
-            Act::StartSide { side } => self.start_side(side),
-            // A second crash may have come while the target was down.
-            Act::StartTarget { side } if self.targets[side].target.is_some() => {}
-            Act::StartTarget { side } => self.start_target(side),
-            Act::SegmentSent {
+            Action::CallerTimeout { caller } => self.caller_timeout(caller),
+            Action::FromCaller {
+                entry,
+                incarnation,
+                event,
+            } => self.deliver_delayed(entry, incarnation, *event),
+            Action::Fault(fault) => self.apply_fault(fault),
+            Action::StartEntry { entry } if self.entries[entry].core.is_some() => {}
+            Action::StartSide { side } if self.sides[side].core.is_some() => {}
+            Action::StartEntry { entry } => self.start_entry(entry),
+            Action::StartSide { side } => self.start_side(side),
+            // A second crash may have been scheduled while the target was down.
+            Action::StartTarget { side } if self.targets[side].target.is_some() => {}
+            Action::StartTarget { side } => self.start_target(side),
+            Action::SegmentSent {
                 entry,
                 is_to_side,
                 session,
                 bytes,
             } => self.segment_sent(entry, is_to_side, session, bytes),
-            Act::Publish(document) => self.published = Some(document),
-            Act::Published { entry, document } => self.take_document(entry, document),
-            Act::Drain { hall } => self.drain_hall(hall),
-            Act::Return { hall } => self.return_hall(hall),
-            Act::ReadDrained { entry, life } => self.read_drained(entry, life),
-            Act::LookAtProfile { entry, life } => self.look_at_profile(entry, life),
-            Act::ProfileAnswered {
+            Action::Publish(document) => self.published = Some(document),
+            Action::Published { entry, document } => self.take_document(entry, document),
+            Action::Drain { hall } => self.drain_hall(hall),
+            Action::Return { hall } => self.return_hall(hall),
+            Action::ReadDrained { entry, incarnation } => self.read_drained(entry, incarnation),
+            Action::CheckProfile { entry, incarnation } => self.check_profile(entry, incarnation),
+            Action::ProfileAnswered {
                 entry,
-                life,
+                incarnation,
                 answer,
-            } => self.profile_answered(entry, life, *answer),
-            Act::SetShareWeights { halls } => self.write_share_weights(halls),
-            Act::ReadShareWeights { entry, life } => self.read_share_weights(entry, life),
-            Act::ResizeOver { side } => self.resize_target(side, self.settings.cpu_millis),
-            Act::MoodOver { side } => {
+            } => self.profile_answered(entry, incarnation, *answer),
+            Action::SetShareWeights { halls } => self.write_share_weights(halls),
+            Action::ReadShareWeights { entry, incarnation } => {
+                self.read_share_weights(entry, incarnation)
+            }
+            Action::ResizeOver { side } => self.resize_target(side, self.settings.cpu_millis),
+            Action::MisbehaviourOver { side } => {
                 if let Some(target) = &mut self.targets[side].target {
-                    target.mood = TargetBehaviour::Healthy;
+                    target.behaviour = TargetBehaviour::Healthy;
                 }
             }
         }
     }
 
-    /// What is for a frozen process waits until it wakes.
-    pub(super) fn frozen_until(&self, act: &Act) -> Option<u64> {
-        let until = match act {
-            Act::ToEntry { entry, .. }
-            | Act::DownAtEntry { entry, .. }
-            | Act::TickEntry { entry, .. }
-            | Act::FromCaller { entry, .. }
-            | Act::LookAtProfile { entry, .. }
-            | Act::ProfileAnswered { entry, .. } => self.entries[*entry].frozen_until,
-            Act::ToSide { side, .. }
-            | Act::DownAtSide { side, .. }
-            | Act::TickSide { side, .. }
-            | Act::TargetRecalled { side, .. }
-            | Act::SideInput { side, .. } => self.sides[*side].frozen_until,
+    /// Returns the time at which a paused process resumes if the action has to wait for it.
+    pub(super) fn paused_until(&self, action: &Action) -> Option<u64> {
+        let until = match action {
+            Action::ToEntry { entry, .. }
+            | Action::LinkDownAtEntry { entry, .. }
+            | Action::TickEntry { entry, .. }
+            | Action::FromCaller { entry, .. }
+            | Action::CheckProfile { entry, .. }
+            | Action::ProfileAnswered { entry, .. } => self.entries[*entry].paused_until,
+            Action::ToSide { side, .. }
+            | Action::LinkDownAtSide { side, .. }
+            | Action::TickSide { side, .. }
+            | Action::TargetProfileRead { side, .. }
+            | Action::SideInput { side, .. } => self.sides[*side].paused_until,
             _ => 0,
         };
         (until > self.now).then_some(until)
     }
 }
 
-/// What becomes of a call to a target.
+/// Outcome of a call to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallFate {
+pub(super) enum CallOutcome {
+    /// The call is applied and answered.
     Done,
+    /// The call is applied, and its answer is lost.
     Unanswered,
+    /// The call is applied after this delay in microseconds, and is not answered.
     Late(u64),
+    /// The call does not arrive, and is not answered.
     Lost,
+    /// The target refuses the connection.
     Refused,
 }
--- a/crates/mastknot_virtual/src/jobs/thin_links.rs
+++ b/crates/mastknot_virtual/src/jobs/limited_links.rs
@@ -1,4 +1,4 @@
-//! Links of limited bandwidth: an entry's messages to all sides share one way out, and one way in.
+//! Bandwidth-limited links: all messages of an entry share one outgoing and one incoming queue.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,19 +7,20 @@
 use bincode::enc::write::SizeWriter;
 use mastknot_core::agent::SessionId;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::JobSystem;
 
-/// What is sent of one link before the next has its turn, in bytes: a segment of TCP on Ethernet.
+/// Number of bytes sent for one link before the next has its turn: a TCP segment on Ethernet.
 const SEGMENT_BYTES: u64 = 1_460;
-/// What a message costs besides its own bytes: its length, the heads of h2, TCP and IP.
+/// Number of bytes that a message needs besides its own: its length prefix and the headers of h2, TCP and IP.
 const OVERHEAD_BYTES: u64 = 65;
-/// The length of the intervals in which traffic is counted, in microseconds.
+/// Length of the intervals in which traffic is counted, in microseconds.
 const COUNTED_INTERVAL: u64 = 100_000;
-/// Messages up to this length count as small: heartbeats, reports, starts.
+/// Maximum length of a small message in bytes: heartbeats, reports and starts are small.
 const SMALL_MESSAGE: u64 = 400;
 
-/// One direction of an entry's link: messages wait in a queue for each session, segments take turns.
+/// One direction of an entry's link. Each session has a queue of messages, and the sessions take turns
+/// segment by segment.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pipe {
     queues: HashMap<SessionId, VecDeque<Waiting>>,
@@ -27,16 +28,16 @@
     is_busy: bool,
 }
 
-/// A message that is not sent whole yet.
+/// Message that is not sent completely yet.
 #[derive(Clone, Debug)]
 struct Waiting {
-    act: Act,
+    action: Action,
     left: u64,
     bytes: u64,
     queued: u64,
 }
 
-/// What the links have carried, and how often they came and went.
+/// Traffic of the links, with the number of links opened and closed.
 #[derive(Clone, Debug, Default)]
 pub struct LinkRecord {
     bytes: Vec<u64>,
@@ -48,93 +49,93 @@
 
 impl LinkRecord {
     fn add(counts: &mut Vec<u64>, at: u64, by: u64) {
-        let place = (at / COUNTED_INTERVAL) as usize;
-        if counts.len() <= place {
-            counts.resize(place + 1, 0);
+        let interval = (at / COUNTED_INTERVAL) as usize;
+        if counts.len() <= interval {
+            counts.resize(interval + 1, 0);
         }
-        counts[place] += by;
+        counts[interval] += by;
     }
 
     fn sum(counts: &[u64], from: Duration, until: Duration) -> u64 {
-        let place = |time: Duration| (time.as_micros() as u64 / COUNTED_INTERVAL) as usize;
+        let interval = |time: Duration| (time.as_micros() as u64 / COUNTED_INTERVAL) as usize;
         let all = counts.iter().enumerate();
-        let within = all.filter(|(at, _)| (place(from)..place(until)).contains(at));
+        let within = all.filter(|(at, _)| (interval(from)..interval(until)).contains(at));
         within.map(|(_, count)| count).sum()
     }
 
-    pub(super) fn note_opened(&mut self, at: u64) {
+    pub(super) fn record_opened(&mut self, at: u64) {
         Self::add(&mut self.opened, at, 1);
     }
 
-    pub(super) fn note_closed(&mut self, at: u64) {
+    pub(super) fn record_closed(&mut self, at: u64) {
         Self::add(&mut self.closed, at, 1);
     }
 
-    pub(super) fn note_message(&mut self, at: u64, bytes: u64) {
+    pub(super) fn record_message(&mut self, at: u64, bytes: u64) {
         Self::add(&mut self.bytes, at, bytes);
         Self::add(&mut self.messages, at, 1);
     }
 
-    fn note_wait(&mut self, at: u64, wait: u64) {
-        let place = (at / COUNTED_INTERVAL) as usize;
-        if self.longest_waits.len() <= place {
-            self.longest_waits.resize(place + 1, 0);
+    fn record_wait(&mut self, at: u64, wait: u64) {
+        let interval = (at / COUNTED_INTERVAL) as usize;
+        if self.longest_waits.len() <= interval {
+            self.longest_waits.resize(interval + 1, 0);
         }
-        self.longest_waits[place] = self.longest_waits[place].max(wait);
+        self.longest_waits[interval] = self.longest_waits[interval].max(wait);
     }
 
-    /// The longest time that a small message took to get onto a limited link.
+    /// Returns the longest time that a small message waited for a bandwidth-limited link.
     pub fn longest_wait(&self, from: Duration, until: Duration) -> Duration {
-        let place = |time: Duration| (time.as_micros() as u64 / COUNTED_INTERVAL) as usize;
+        let interval = |time: Duration| (time.as_micros() as u64 / COUNTED_INTERVAL) as usize;
         let all = self.longest_waits.iter().enumerate();
-        let within = all.filter(|(at, _)| (place(from)..place(until)).contains(at));
+        let within = all.filter(|(at, _)| (interval(from)..interval(until)).contains(at));
         Duration::from_micros(within.map(|(_, wait)| *wait).max().unwrap_or_default())
     }
 
-    /// The bytes handed to links in a time.
+    /// Returns the number of bytes handed to links in an interval.
     pub fn bytes(&self, from: Duration, until: Duration) -> u64 {
         Self::sum(&self.bytes, from, until)
     }
 
-    /// The messages handed to links in a time.
+    /// Returns the number of messages handed to links in an interval.
     pub fn messages(&self, from: Duration, until: Duration) -> u64 {
         Self::sum(&self.messages, from, until)
     }
 
-    /// The links opened in a time.
+    /// Returns the number of links opened in an interval.
     pub fn opened(&self, from: Duration, until: Duration) -> u64 {
         Self::sum(&self.opened, from, until)
     }
 
-    /// The links that an end gave up in a time.
+    /// Returns the number of links closed by one of their ends in an interval.
     pub fn closed(&self, from: Duration, until: Duration) -> u64 {
         Self::sum(&self.closed, from, until)
     }
 }
 
 impl JobSystem {
-    /// What the links have carried.
+    /// Returns the traffic record of the links.
     pub fn link_record(&self) -> &LinkRecord {
         &self.link_record
     }
 
-    /// Sends a message; it arrives as `act`.
+    /// Sends a message; its arrival is performed as `action`.
     pub(super) fn transmit<M: Encode>(
         &mut self,
         session: SessionId,
         is_to_side: bool,
         message: &M,
-        act: Act,
+        action: Action,
     ) {
         if self.silenced.contains(&session) {
             return;
         }
         let bytes = wire_size(message);
-        self.link_record.note_message(self.now, bytes);
-        let place = self.sessions.get(&session).copied();
-        let Some((entry, _)) = place.filter(|_| self.settings.entry_link.is_some()) else {
+        self.link_record.record_message(self.now, bytes);
+        let ends = self.sessions.get(&session).copied();
+        let Some((entry, _)) = ends.filter(|_| self.settings.entry_link.is_some()) else {
             let at = self.arrival(session, is_to_side);
-            self.schedule.add(at, act);
+            self.schedule.add(at, action);
             return;
         };
         let queued = self.now;
@@ -142,7 +143,7 @@
         let queue = pipe.queues.entry(session).or_default();
         let is_first = queue.is_empty();
         queue.push_back(Waiting {
-            act,
+            action,
             left: bytes,
             bytes,
             queued,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// What still waits on a closed session is not sent.
+    /// Drops the messages that still wait on a closed session.
     pub(super) fn drop_queue(&mut self, session: SessionId, is_to_side: bool) {
         if let Some((entry, _)) = self.sessions.get(&session).copied() {
             let pipe = self.pipe(entry, is_to_side);
@@ -186,7 +187,7 @@
         }
         pipe.is_busy = segment.is_some();
         if let Some((session, bytes)) = segment {
-            let sent = Act::SegmentSent {
+            let sent = Action::SegmentSent {
                 entry,
                 is_to_side,
                 session,
@@ -194,7 +195,7 @@
             };
             let is_throttled = self.throttled_until[entry] > self.now;
             let rate = if is_throttled { rate / 10 } else { rate };
-            self.later(bytes * 1_000_000 / rate.max(1), sent);
+            self.schedule_in(bytes * 1_000_000 / rate.max(1), sent);
         }
     }
 
@@ -206,25 +207,25 @@
         bytes: u64,
     ) {
         let pipe = self.pipe(entry, is_to_side);
-        let mut whole = None;
+        let mut sent = None;
         if let Some(queue) = pipe.queues.get_mut(&session) {
             if let Some(first) = queue.front_mut() {
                 first.left = first.left.saturating_sub(bytes);
             }
             if queue.front().is_some_and(|first| first.left == 0) {
-                whole = queue.pop_front();
+                sent = queue.pop_front();
             }
             if !queue.is_empty() {
                 pipe.turns.push_back(session);
             }
         }
-        if let Some(message) = whole {
+        if let Some(message) = sent {
             if message.bytes <= SMALL_MESSAGE {
                 self.link_record
-                    .note_wait(self.now, self.now - message.queued);
+                    .record_wait(self.now, self.now - message.queued);
             }
             let at = self.arrival(session, is_to_side);
-            self.schedule.add(at, message.act);
+            self.schedule.add(at, message.action);
         }
         self.send_segment(entry, is_to_side);
     }
--- a/crates/mastknot_virtual/src/jobs/links.rs
+++ b/crates/mastknot_virtual/src/jobs/links.rs
@@ -1,4 +1,4 @@
-//! Links between entries and sides: dialing, order of arrival, cuts, resets.
+//! Links between entries and sides: dialing, order of arrival, disconnections and resets.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use mastknot_core::scheduler::SchedulerEvent;
 use rand::RngExt;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::{JobSystem, LINK_DELAY};
 
 impl JobSystem {
@@ -18,12 +18,19 @@
         if self.sides[side].core.is_none() || is_linked {
             return;
         }
-        let cut = self.cuts.get(&(entry, side)).copied().unwrap_or_default();
-        let is_cut = cut.to_side_until.max(cut.to_entry_until) > self.now;
-        if is_cut || self.entries[entry].core.is_none() {
+        let disconnection = self
+            .disconnections
+            .get(&(entry, side))
+            .copied()
+            .unwrap_or_default();
+        let is_disconnected = disconnection
+            .to_side_until
+            .max(disconnection.to_entry_until)
+            > self.now;
+        if is_disconnected || self.entries[entry].core.is_none() {
             let jitter = self.jitter();
             let pause = self.backoff(entry, side).after_failure(jitter);
-            self.later(pause.as_micros() as u64, Act::Dial { entry, side });
+            self.schedule_in(pause.as_micros() as u64, Action::Dial { entry, side });
             return;
         }
         let session = SessionId(self.next_session);
@@ -31,20 +38,27 @@
         self.sessions.insert(session, (entry, side));
         self.entries[entry].open.insert(session);
         self.sides[side].open.insert(session);
-        self.link_record.note_opened(self.now);
+        self.link_record.record_opened(self.now);
         self.opened.insert(session, self.now);
-        let life = self.sides[side].life;
+        let incarnation = self.sides[side].incarnation;
         let event = Box::new(AgentEvent::LinkUp { session });
-        self.later(0, Act::SideInput { side, life, event });
+        self.schedule_in(
+            0,
+            Action::SideInput {
+                side,
+                incarnation,
+                event,
+            },
+        );
     }
 
     pub(super) fn redial(&mut self, session: SessionId) {
         if let Some((entry, side)) = self.sessions.get(&session).copied() {
             let opened = self.opened.remove(&session).unwrap_or(self.now);
-            let stood = Duration::from_micros(self.now - opened);
+            let uptime = Duration::from_micros(self.now - opened);
             let jitter = self.jitter();
-            let pause = self.backoff(entry, side).after_link(stood, jitter);
-            self.later(pause.as_micros() as u64, Act::Dial { entry, side });
+            let pause = self.backoff(entry, side).after_link(uptime, jitter);
+            self.schedule_in(pause.as_micros() as u64, Action::Dial { entry, side });
         }
     }
 
@@ -56,13 +70,14 @@
         self.backoffs.entry((entry, side)).or_default()
     }
 
-    /// When something sent now arrives: in order, and not before a cut is over.
+    /// Returns the arrival time of a message that is sent now: in order, and not before a disconnection is
+    /// over.
     pub(super) fn arrival(&mut self, session: SessionId, is_to_side: bool) -> u64 {
-        let place = self.sessions.get(&session).copied().unwrap_or_default();
-        let cut = self.cuts.get(&place).copied().unwrap_or_default();
+        let ends = self.sessions.get(&session).copied().unwrap_or_default();
+        let disconnection = self.disconnections.get(&ends).copied().unwrap_or_default();
         let open_at = match is_to_side {
-            true => cut.to_side_until,
-            false => cut.to_entry_until,
+            true => disconnection.to_side_until,
+            false => disconnection.to_entry_until,
         };
         let last = self.last_arrival.entry((session, is_to_side)).or_default();
         let at = (self.now.max(open_at) + LINK_DELAY).max(*last);
@@ -74,7 +89,7 @@
         if !self.entries[entry].open.remove(&session) {
             return;
         }
-        self.link_record.note_closed(self.now);
+        self.link_record.record_closed(self.now);
         self.drop_queue(session, true);
         if self.silenced.contains(&session) {
             return;
@@ -82,13 +97,13 @@
         let Some((_, side)) = self.sessions.get(&session).copied() else {
             return;
         };
-        let life = self.sides[side].life;
+        let incarnation = self.sides[side].incarnation;
         let at = self.arrival(session, true);
         self.schedule.add(
             at,
-            Act::DownAtSide {
+            Action::LinkDownAtSide {
                 side,
-                life,
+                incarnation,
                 session,
             },
         );
@@ -98,7 +113,7 @@
         if !self.sides[side].open.remove(&session) {
             return;
         }
-        self.link_record.note_closed(self.now);
+        self.link_record.record_closed(self.now);
         self.drop_queue(session, false);
         if self.silenced.contains(&session) {
             self.redial(session);
@@ -107,13 +122,13 @@
         let Some((entry, _)) = self.sessions.get(&session).copied() else {
             return;
         };
-        let life = self.entries[entry].life;
+        let incarnation = self.entries[entry].incarnation;
         let at = self.arrival(session, false);
         self.schedule.add(
             at,
-            Act::DownAtEntry {
+            Action::LinkDownAtEntry {
                 entry,
-                life,
+                incarnation,
                 session,
             },
         );
@@ -125,7 +140,7 @@
         open.find(|session| self.sessions.get(session) == Some(&(entry, side)))
     }
 
-    /// Neither end hears anything more on the link, not even that the other one has closed it.
+    /// Silences a link: neither end receives anything more on it, not even that the other end has closed it.
     pub(super) fn silence_link(&mut self, entry: usize, side: usize) {
         self.silenced.extend(self.open_session(entry, side));
     }
--- a/crates/mastknot_virtual/src/jobs/mod.rs
+++ b/crates/mastknot_virtual/src/jobs/mod.rs
@@ -1,13 +1,16 @@
-//! Jobs of sized tasks: the real cores of entries and sides, with fake targets, links and callers.
+//! Simulation of jobs with sized tasks: the real cores of entries and sides with fake targets, links and
+//! callers.
 
-mod act;
+mod action;
 mod bad_tasks;
 mod callers;
+mod delayed_requests;
 mod draining;
-mod held_requests;
+mod fault_handling;
 mod job_audit;
 mod job_faults;
 mod job_system;
+mod limited_links;
 mod links;
 mod node;
 mod observing;
@@ -16,12 +19,10 @@
 mod publishing;
 mod sharing;
 mod step_record;
-mod strikes;
 mod submitting;
-mod target_memory;
+mod target_profiles;
 mod target_slot;
 mod targets;
-mod thin_links;
 mod variants;
 mod virtual_target;
 
@@ -30,7 +31,7 @@
 pub use job_audit::{GivenAnswer, JobAudit, JobViolation};
 pub use job_faults::{Direction, JobFault, JobFaultPlan};
 pub use job_system::{JobSystem, JobSystemSettings};
+pub use limited_links::LinkRecord;
 pub use profile_store::ProfileStore;
 pub use step_record::StepRecord;
-pub use thin_links::LinkRecord;
 pub use virtual_target::{TargetBehaviour, VirtualTarget};
--- a/crates/mastknot_virtual/src/jobs/node.rs
+++ b/crates/mastknot_virtual/src/jobs/node.rs
@@ -3,15 +3,19 @@
 
 use mastknot_core::agent::SessionId;
 
-/// A VM with a process around a core.
+/// VM that runs a process around a decision core.
 pub(super) struct Node<C> {
+    /// Decision core; `None` while the process is down.
     pub(super) core: Option<C>,
-    pub(super) life: u64,
-    pub(super) frozen_until: u64,
-    /// For how long its VM has been suspended in this life.
-    pub(super) asleep: u64,
-    /// Links that this process holds open.
+    /// Number of the current incarnation of the process. A start and a kill each increase it.
+    pub(super) incarnation: u64,
+    /// Time until which the process is paused or its VM suspended, in microseconds.
+    pub(super) paused_until: u64,
+    /// Time for which the VM has been suspended in this incarnation, in microseconds.
+    pub(super) suspended_for: u64,
+    /// Links that the process holds open.
     pub(super) open: BTreeSet<SessionId>,
+    /// Time of the tick that the core last asked for, in microseconds.
     pub(super) tick_at: Option<u64>,
 }
 
@@ -19,22 +23,22 @@
     pub(super) fn new() -> Self {
         Self {
             core: None,
-            life: 0,
-            frozen_until: 0,
-            asleep: 0,
+            incarnation: 0,
+            paused_until: 0,
+            suspended_for: 0,
             open: BTreeSet::new(),
             tick_at: None,
         }
     }
 
-    /// Its VM is suspended from now on, or for longer than it was to be.
-    pub(super) fn fall_asleep(&mut self, now: u64, time: Duration) {
+    /// Suspends the VM for the given time, or extends a suspension.
+    pub(super) fn suspend(&mut self, now: u64, time: Duration) {
         let until = now + time.as_micros() as u64;
-        self.asleep += until.saturating_sub(self.frozen_until.max(now));
-        self.frozen_until = self.frozen_until.max(until);
+        self.suspended_for += until.saturating_sub(self.paused_until.max(now));
+        self.paused_until = self.paused_until.max(until);
     }
 
-    /// Whether a tick that comes now is the one that the core asked for last: earlier plans are void.
+    /// Returns whether a tick at this time is the one that the core last asked for. Earlier plans are void.
     pub(super) fn takes_tick(&mut self, now: u64) -> bool {
         self.tick_at.take_if(|at| *at <= now).is_some()
     }
--- a/crates/mastknot_virtual/src/jobs/processes.rs
+++ b/crates/mastknot_virtual/src/jobs/processes.rs
@@ -1,4 +1,4 @@
-//! Entries and sides: starts, steps, effects.
+//! Starts entries and sides, steps their cores and carries out the effects.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -12,16 +12,16 @@
 use mastknot_core::types::{Hall, Incarnation, Moment, NodeName};
 use rand::RngExt;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::{HALLS, JobSystem, LINK_DELAY, MILLI};
-use super::target_slot::OpenLook;
-use super::virtual_target::{VirtualLook, VirtualStart};
+use super::target_slot::OpenProbe;
+use super::virtual_target::{VirtualProbe, VirtualStart};
 
 impl JobSystem {
     pub(super) fn start_entry(&mut self, entry: usize) {
         let node = &mut self.entries[entry];
-        node.life += 1;
-        let incarnation = Incarnation(node.life);
+        node.incarnation += 1;
+        let incarnation = Incarnation(node.incarnation);
         let mut settings = SchedulerSettings {
             hall: hall_of(entry),
             scarcity: self.scarcity,
@@ -37,23 +37,23 @@
         node.core = Some(JobScheduler::new(settings));
         node.open.clear();
         node.tick_at = None;
-        node.frozen_until = 0;
-        node.asleep = 0;
+        node.paused_until = 0;
+        node.suspended_for = 0;
         let known = self.known_entries();
         self.step_entry(entry, SchedulerEvent::Entries(known));
         self.read_store(entry);
         self.read_drained_at_start(entry);
         self.start_profile(entry);
-        let life = self.entries[entry].life;
-        self.read_share_weights(entry, life);
+        let incarnation = self.entries[entry].incarnation;
+        self.read_share_weights(entry, incarnation);
     }
 
-    /// Starts all entries anew, with the settings that hold now; for a system that has not run yet.
+    /// Restarts all entries with the current settings; for a system that has not run yet.
     pub fn restart_entries(&mut self) {
         (0..self.settings.entries).for_each(|entry| self.start_entry(entry));
     }
 
-    /// All entries of the system, whether they run or not.
+    /// Returns all entries of the system, including those that are down.
     fn known_entries(&self) -> Vec<KnownEntry> {
         let known = (0..self.settings.entries).map(|entry| KnownEntry {
             name: entry_name(entry),
@@ -64,84 +64,87 @@
 
     pub(super) fn start_side(&mut self, side: usize) {
         let node = &mut self.sides[side];
-        node.life += 1;
+        node.incarnation += 1;
         let name = format!("side-{side}");
-        let incarnation = Incarnation(node.life);
+        let incarnation = Incarnation(node.incarnation);
         let settings = AgentSettings {
-            max_hold: self.longest_hold,
+            max_hold: self.max_hold,
             ..AgentSettings::new(name.as_str().into(), incarnation, hall_of(side))
         };
         node.core = Some(TargetAgent::new(settings));
         node.open.clear();
         node.tick_at = None;
-        node.frozen_until = 0;
-        node.asleep = 0;
+        node.paused_until = 0;
+        node.suspended_for = 0;
         let order = DialOrder::new(&name.as_str().into(), &self.known_entries());
         for entry in order.at_once {
-            self.first_dial(entry_place(&entry), side, LINK_DELAY);
+            self.first_dial(entry_index(&entry), side, LINK_DELAY);
         }
         for entry in order.later {
             let pause = DialOrder::pause(self.rng.random_range(0.0..1.0));
             let pause = pause.as_micros() as u64;
-            self.first_dial(entry_place(&entry), side, LINK_DELAY + pause);
+            self.first_dial(entry_index(&entry), side, LINK_DELAY + pause);
         }
         self.step_side(side, AgentEvent::Tick);
-        self.ask_for_target(side);
+        self.request_target_profile(side);
     }
 
     fn first_dial(&mut self, entry: usize, side: usize, pause: u64) {
         self.backoffs.remove(&(entry, side));
-        self.later(pause, Act::Dial { entry, side });
+        self.schedule_in(pause, Action::Dial { entry, side });
     }
 
     pub(super) fn step_entry(&mut self, entry: usize, event: SchedulerEvent) {
-        let asleep = self.entries[entry].asleep;
-        let now = self.moment(asleep);
+        let suspended_for = self.entries[entry].suspended_for;
+        let now = self.moment(suspended_for);
         let Some(core) = &mut self.entries[entry].core else {
             return;
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         let effects = core.step(now, event);
         let next = core.next_tick();
-        self.entry_steps.note(begun.elapsed());
+        self.entry_steps.record(started.elapsed());
         for effect in effects {
             self.entry_effect(entry, effect);
         }
-        let life = self.entries[entry].life;
-        if let Some(at) = self.wake(next, asleep, self.entries[entry].tick_at) {
+        let incarnation = self.entries[entry].incarnation;
+        if let Some(at) = self.next_wake_at(next, suspended_for, self.entries[entry].tick_at) {
             self.entries[entry].tick_at = Some(at);
-            self.schedule.add(at, Act::TickEntry { entry, life });
+            self.schedule
+                .add(at, Action::TickEntry { entry, incarnation });
         }
     }
 
     pub(super) fn step_side(&mut self, side: usize, event: AgentEvent) {
-        let asleep = self.sides[side].asleep;
-        let now = self.moment(asleep);
+        let suspended_for = self.sides[side].suspended_for;
+        let now = self.moment(suspended_for);
         let Some(core) = &mut self.sides[side].core else {
             return;
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         let effects = core.step(now, event);
         let next = core.next_tick();
-        self.side_steps.note(begun.elapsed());
+        self.side_steps.record(started.elapsed());
         for effect in effects {
             self.side_effect(side, effect);
         }
-        let life = self.sides[side].life;
-        if let Some(at) = self.wake(next, asleep, self.sides[side].tick_at) {
+        let incarnation = self.sides[side].incarnation;
+        if let Some(at) = self.next_wake_at(next, suspended_for, self.sides[side].tick_at) {
             self.sides[side].tick_at = Some(at);
-            self.schedule.add(at, Act::TickSide { side, life });
+            self.schedule
+                .add(at, Action::TickSide { side, incarnation });
         }
     }
 
-    /// When to wake a core, unless it is woken before.
-    pub(super) fn wake(
+    /// Returns the time of the next tick of a core, or `None` if the core needs none or an earlier one is
+    /// planned.
+    pub(super) fn next_wake_at(
         &self,
         next: Option<Moment>,
-        asleep: u64,
+        suspended_for: u64,
         planned: Option<u64>,
     ) -> Option<u64> {
-        let at = next?.as_micros() + self.clock_lag(asleep);
+        let at = next?.as_micros() + self.clock_lag(suspended_for);
         let at = at.max(self.now + 100);
         planned.is_none_or(|planned| at < planned).then_some(at)
     }
@@ -155,10 +158,10 @@
                 let Some((_, side)) = self.sessions.get(&session).copied() else {
                     return;
                 };
-                let life = self.sides[side].life;
-                let sent = Act::ToSide {
+                let incarnation = self.sides[side].incarnation;
+                let sent = Action::ToSide {
                     side,
-                    life,
+                    incarnation,
                     session,
                     order: Box::new(order.clone()),
                 };
@@ -172,7 +175,7 @@
     }
 
     pub(super) fn side_effect(&mut self, side: usize, effect: AgentEffect) {
-        let life = self.sides[side].life;
+        let incarnation = self.sides[side].incarnation;
         match effect {
             AgentEffect::Send { session, report } => {
                 if !self.sides[side].open.contains(&session) {
@@ -181,10 +184,10 @@
                 let Some((entry, _)) = self.sessions.get(&session).copied() else {
                     return;
                 };
-                let life = self.entries[entry].life;
-                let sent = Act::ToEntry {
+                let incarnation = self.entries[entry].incarnation;
+                let sent = Action::ToEntry {
                     entry,
-                    life,
+                    incarnation,
                     session,
                     report: Box::new(report.clone()),
                 };
@@ -196,10 +199,10 @@
                 hold_until_ms,
                 token,
                 target,
-                timeout: limit,
+                timeout,
                 ..
             } => {
-                let room = Capacity {
+                let capacity = Capacity {
                     cpu_millis: 1_600,
                     memory_mb: 64,
                     accelerators: 0,
@@ -207,24 +210,24 @@
                 let work = self.jobs.get(&run.task.job).map_or(MILLI, |job| job.work);
                 let percent = self.speed_of(side).map_or(100, |(percent, _)| percent);
                 let work = work * 100 / percent;
-                let task_mood = self.task_moods.get(&run.task).copied();
+                let task_behaviour = self.task_behaviours.get(&run.task).copied();
                 let start = VirtualStart {
                     run,
-                    room,
+                    capacity,
                     work,
-                    task_mood,
+                    task_behaviour,
                     hold_until_ms,
                     token,
                     target,
                 };
-                self.order_start(side, life, start, limit.as_micros() as u64);
+                self.order_start(side, incarnation, start, timeout.as_micros() as u64);
             }
             AgentEffect::StopRun {
                 run,
                 token,
-                timeout: limit,
+                timeout,
             } => {
-                self.order_stop(side, life, run, token, limit.as_micros() as u64);
+                self.order_stop(side, incarnation, run, token, timeout.as_micros() as u64);
             }
             AgentEffect::Probe {
                 number,
@@ -233,38 +236,38 @@
                 last_seen,
                 wait,
                 target,
-                timeout: limit,
+                timeout,
             } => {
-                let look = VirtualLook {
+                let probe = VirtualProbe {
                     hold_until_ms,
                     token,
                     last_seen,
                     target,
                 };
-                let limit = limit.as_micros() as u64;
-                let open = OpenLook {
+                let timeout = timeout.as_micros() as u64;
+                let open = OpenProbe {
                     number,
-                    life,
-                    look,
-                    limit,
+                    incarnation,
+                    probe,
+                    timeout,
                 };
-                self.order_look(side, open, wait.as_micros() as u64);
+                self.order_probe(side, open, wait.as_micros() as u64);
             }
-            AgentEffect::StoreProfile(profile) => self.remember_target(side, profile),
+            AgentEffect::StoreProfile(profile) => self.store_target_profile(side, profile),
             AgentEffect::Decided(AgentDecision::Unclaimed { .. }) => self.runs_unclaimed += 1,
             AgentEffect::DialEntries(_) | AgentEffect::Decided(_) | AgentEffect::Drained => {}
         }
     }
 }
 
-/// The place of an entry of [`JobSystem::known_entries`].
-fn entry_place(entry: &KnownEntry) -> usize {
+/// Returns the index of an entry of [`JobSystem::known_entries`].
+fn entry_index(entry: &KnownEntry) -> usize {
     usize::from(entry.address.port()) - 1
 }
 
-/// The hall that a side and its target stand in, or an entry.
-pub(super) fn hall_of(place: usize) -> Hall {
-    format!("hall-{}", place % HALLS).as_str().into()
+/// Returns the hall of the entry, or of the side and its target, with the given index.
+pub(super) fn hall_of(index: usize) -> Hall {
+    format!("hall-{}", index % HALLS).as_str().into()
 }
 
 fn entry_name(entry: usize) -> NodeName {
--- a/crates/mastknot_virtual/src/jobs/profile_store.rs
+++ b/crates/mastknot_virtual/src/jobs/profile_store.rs
@@ -1,4 +1,5 @@
-//! What entries have learned, in the store: the real decisions of who writes it and when, over a small store.
+//! Learned profile of entries in the store: the real decisions on which entry writes it and when, with a
+//! small fake store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,38 +8,38 @@
 use mastknot_core::scheduler::SchedulerEvent;
 use mastknot_core::types::WallTime;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::{JobSystem, MILLI};
 
-/// How long a call takes, in microseconds.
+/// Duration of a call to the store, in microseconds.
 const CALL_TIME: u64 = 5 * MILLI;
-/// Between two looks of an entry at what is new.
-const LOOK_INTERVAL: u64 = 1_000 * MILLI;
-/// The wall clock at the begin, in milliseconds.
+/// Interval between two checks of an entry for updates, in microseconds.
+const CHECK_INTERVAL: u64 = 1_000 * MILLI;
+/// Time of the wall clock at the start of the simulation, in milliseconds.
 const FIRST_WALL: u64 = 1_700_000_000_000;
 
-/// The document as the store has it, and what was done with it.
+/// Learned profile in the store, with counts of its reads and writes.
 #[derive(Clone, Debug, Default)]
 pub struct ProfileStore {
-    /// The document; none if nobody has written it.
+    /// Document in the store; `None` if no entry has written it.
     pub value: Option<Vec<u8>>,
-    /// Its revision.
+    /// Revision of the document.
     pub revision: u64,
-    /// Reads of entries.
+    /// Number of reads by entries.
     pub reads: usize,
-    /// When entries have written it, and which.
+    /// Time and entry of each write.
     pub writes: Vec<(Duration, usize)>,
-    /// Writes whose condition did not hold.
+    /// Number of writes that were refused because the store held another revision.
     pub refused_writes: usize,
-    /// Documents that an entry could not use.
+    /// Number of documents that an entry could not use.
     pub unusable_documents: usize,
-    /// Until when answers to writes are lost, in microseconds.
+    /// Time until which answers to writes are lost, in microseconds.
     answers_lost_until: u64,
-    /// Until when all calls for the document are turned away, in microseconds.
-    away_until: u64,
+    /// Time until which all calls for the document are rejected, in microseconds.
+    unreachable_until: u64,
 }
 
-/// What an entry hears of its call.
+/// Answer that an entry receives to its call.
 #[derive(Clone, Debug)]
 pub(super) enum ProfileAnswer {
     Read(Option<(u64, Vec<u8>)>),
@@ -75,45 +76,45 @@
 }
 
 impl JobSystem {
-    /// The document of what entries have learned.
+    /// Returns the learned profile in the store.
     pub fn profile_store(&self) -> &ProfileStore {
         &self.profile_store
     }
 
-    /// Puts something in the document's place.
+    /// Replaces the document with the given bytes.
     pub fn put_profile(&mut self, value: Vec<u8>) {
         self.profile_store.put(value);
     }
 
-    /// Answers to writes of the document are lost until a time.
+    /// Makes the store lose the answers to writes of the document until a time.
     pub fn lose_profile_answers(&mut self, until: Duration) {
         self.profile_store.answers_lost_until = until.as_micros() as u64;
     }
 
-    /// Calls for the document are turned away until a time.
+    /// Makes the store reject calls for the document until a time.
     pub fn reject_profile_calls(&mut self, until: Duration) {
-        self.profile_store.away_until = until.as_micros() as u64;
+        self.profile_store.unreachable_until = until.as_micros() as u64;
     }
 
-    /// An entry that starts reads the document, and writes it when it is its turn.
+    /// Makes an entry that starts read the document, and write it when it is its turn.
     pub(super) fn start_profile(&mut self, entry: usize) {
         self.ledgers[entry] = ProfileLedger::default();
-        let life = self.entries[entry].life;
-        self.look_at_profile(entry, life);
+        let incarnation = self.entries[entry].incarnation;
+        self.check_profile(entry, incarnation);
     }
 
-    /// An entry looks whether it has to read or write the document.
-    pub(super) fn look_at_profile(&mut self, entry: usize, life: u64) {
-        if self.entries[entry].life != life || !self.scarcity.profile {
+    /// Makes an entry check whether it has to read or write the document.
+    pub(super) fn check_profile(&mut self, entry: usize, incarnation: u64) {
+        if self.entries[entry].incarnation != incarnation || !self.scarcity.profile {
             return;
         }
-        self.later(LOOK_INTERVAL, Act::LookAtProfile { entry, life });
+        self.schedule_in(CHECK_INTERVAL, Action::CheckProfile { entry, incarnation });
         let wall = self.wall();
         let node = &self.entries[entry];
         let Some(core) = &node.core else {
             return;
         };
-        let now = self.moment(node.asleep);
+        let now = self.moment(node.suspended_for);
         let ledger = &mut self.ledgers[entry];
         let known = ledger.known().cloned();
         let offer = match ledger.must_read() {
@@ -124,22 +125,23 @@
             return;
         };
         let answer = Box::new(self.carry_out(entry, call));
-        let answered = Act::ProfileAnswered {
+        let answered = Action::ProfileAnswered {
             entry,
-            life,
+            incarnation,
             answer,
         };
-        self.later(CALL_TIME, answered);
+        self.schedule_in(CALL_TIME, answered);
     }
 
     fn carry_out(&mut self, entry: usize, call: ProfileCall) -> ProfileAnswer {
-        let away_until = self.store_away_until[entry].max(self.profile_store.away_until);
-        let is_away = !self.is_store_reachable || away_until > self.now;
+        let unreachable_until =
+            self.store_unreachable_until[entry].max(self.profile_store.unreachable_until);
+        let is_unreachable = !self.is_store_reachable || unreachable_until > self.now;
         let store = &mut self.profile_store;
         match call {
-            ProfileCall::Read if is_away => ProfileAnswer::NotRead,
+            ProfileCall::Read if is_unreachable => ProfileAnswer::NotRead,
             ProfileCall::Read => store.read(),
-            ProfileCall::Write { .. } if is_away => {
+            ProfileCall::Write { .. } if is_unreachable => {
                 ProfileAnswer::Written(ProfileWrite::TurnedAway)
             }
             ProfileCall::Write { value, expected } => {
@@ -148,12 +150,17 @@
         }
     }
 
-    /// An entry has an answer of the store.
-    pub(super) fn profile_answered(&mut self, entry: usize, life: u64, answer: ProfileAnswer) {
-        if self.entries[entry].life != life {
+    /// Delivers an answer of the store to an entry.
+    pub(super) fn profile_answered(
+        &mut self,
+        entry: usize,
+        incarnation: u64,
+        answer: ProfileAnswer,
+    ) {
+        if self.entries[entry].incarnation != incarnation {
             return;
         }
-        let now = self.moment(self.entries[entry].asleep);
+        let now = self.moment(self.entries[entry].suspended_for);
         let ledger = &mut self.ledgers[entry];
         let read = match answer {
             ProfileAnswer::Written(write) => return ledger.record_write(now, write),
@@ -174,7 +181,7 @@
         }
     }
 
-    /// The wall clock of all processes.
+    /// Returns the wall-clock time of all processes.
     pub fn wall(&self) -> WallTime {
         WallTime::from_millis(FIRST_WALL + self.now / MILLI)
     }
--- a/crates/mastknot_virtual/src/jobs/publishing.rs
+++ b/crates/mastknot_virtual/src/jobs/publishing.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, as entries read it from the store.
+//! Configuration of the operators, and how entries read it from the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,14 +6,15 @@
 use mastknot_core::job::ConfigDocument;
 use mastknot_core::scheduler::SchedulerEvent;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::JobSystem;
 
-/// How long an entry that has just started takes to read the store, in microseconds.
+/// Time that an entry which has just started takes to read the store, in microseconds.
 const READ_TIME: u64 = 5_000;
 
 impl JobSystem {
-    /// At a time the store has a configuration of so many bytes; entries that read it have it at once.
+    /// Schedules that the store receives a configuration of `length` bytes; the entries in `readers` read it
+    /// at once.
     pub fn publish(&mut self, at: Duration, version: u64, length: usize, readers: &[usize]) {
         let text = (0..length).map(|place| (place as u64 * 31 + version) as u8);
         let document = ConfigDocument {
@@ -21,32 +22,33 @@
             bytes: text.collect::<Vec<u8>>().into(),
         };
         let at = at.as_micros() as u64;
-        self.schedule.add(at, Act::Publish(document.clone()));
+        self.schedule.add(at, Action::Publish(document.clone()));
         for entry in readers.iter().copied() {
             let document = document.clone();
-            self.schedule.add(at, Act::Published { entry, document });
+            self.schedule.add(at, Action::Published { entry, document });
         }
     }
 
-    /// Whether entries that start can read the store.
+    /// Sets whether entries that start can read the store.
     pub fn set_store_reachable(&mut self, is_reachable: bool) {
         self.is_store_reachable = is_reachable;
     }
 
-    /// The version in force at each entry that runs.
+    /// Returns the configuration version in force at each running entry.
     pub fn versions_in_force(&self) -> Vec<u64> {
         let cores = self.entries.iter().filter_map(|node| node.core.as_ref());
         cores.map(|core| core.document_version()).collect()
     }
 
-    /// An entry that starts reads what the store has.
+    /// Makes an entry that starts read the configuration in the store.
     pub(super) fn read_store(&mut self, entry: usize) {
         if let Some(document) = self.published.clone().filter(|_| self.is_store_reachable) {
-            self.later(READ_TIME, Act::Published { entry, document });
+            self.schedule_in(READ_TIME, Action::Published { entry, document });
         }
     }
 
-    /// A newer version takes effect at an entry, wherever it came from.
+    /// Puts a newer configuration into force at an entry, whether it came from the store or a peer. Panics if
+    /// its bytes are damaged.
     pub(super) fn take_document(&mut self, entry: usize, document: ConfigDocument) {
         let core = self.entries[entry].core.as_ref();
         let known = core.map(|core| core.document_version());
--- a/crates/mastknot_virtual/src/jobs/step_record.rs
+++ b/crates/mastknot_virtual/src/jobs/step_record.rs
@@ -1,21 +1,21 @@
 use std::time::Duration;
 
-/// How often the cores of one kind were called, and the processor time that this took, in real time.
+/// Number of calls of the cores of one role, and the real time that the calls took.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepRecord {
-    /// Calls.
+    /// Number of calls.
     pub steps: u64,
-    /// Time in the calls.
+    /// Total time of the calls.
     pub time: Duration,
 }
 
 impl StepRecord {
-    pub(super) fn note(&mut self, time: Duration) {
+    pub(super) fn record(&mut self, time: Duration) {
         self.steps += 1;
         self.time += time;
     }
 
-    /// What came after an earlier reading.
+    /// Returns the calls since an earlier reading.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             steps: self.steps - earlier.steps,
--- a/crates/mastknot_virtual/src/jobs/submitting.rs
+++ b/crates/mastknot_virtual/src/jobs/submitting.rs
@@ -1,4 +1,4 @@
-//! Jobs that callers hand in, and how they leave.
+//! Submission of jobs by callers, and their departure.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use mastknot_core::job::{Capacity, JobId, JobRequest, StepSpec};
 use mastknot_core::scheduler::ScarcitySettings;
 
-use super::act::Act;
+use super::action::Action;
 use super::job_system::{JobSystem, VirtualJob};
 
 impl JobSystem {
-    /// Hands in a job of `tasks` tasks of `work` each at a time and an entry.
+    /// Schedules the submission of a job of `tasks` tasks, each of which takes `work`, to an entry.
     pub fn submit(&mut self, at: Duration, entry: usize, tasks: u16, work: Duration) -> JobId {
         self.submit_to("queue", at, entry, tasks, work)
     }
 
-    /// Hands in a job to a queue.
+    /// Schedules the submission of a job to a queue.
     pub fn submit_to(
         &mut self,
         queue: &str,
@@ -50,32 +50,32 @@
         };
         self.jobs.insert(id, job);
         let at = at.as_micros() as u64;
-        self.schedule.add(at, Act::Submit { job: id, entry });
+        self.schedule.add(at, Action::Submit { job: id, entry });
         id
     }
 
-    /// Gives a queue a priority; lower ones come first.
+    /// Sets the priority of a queue; queues with lower numbers come first.
     pub fn set_priority(&mut self, queue: &str, priority: u32) {
         self.priorities.insert(Arc::from(queue), priority);
     }
 
-    /// Sets what decides on room that is short, for entries that start from now on.
+    /// Sets the decisions on scarce capacity for entries that start from now on.
     pub fn set_scarcity(&mut self, scarcity: ScarcitySettings) {
         self.scarcity = scarcity;
     }
 
-    /// Lets callers that are refused come back when they are told to, so often at most.
-    pub fn set_max_returns(&mut self, most: u32) {
-        self.most_returns = most;
+    /// Sets how often refused callers retry, each time after the delay that the refusal named.
+    pub fn set_max_returns(&mut self, max_returns: u32) {
+        self.max_returns = max_returns;
     }
 
-    /// All callers of a job leave at a time and do not come again.
+    /// Schedules that all callers of a job leave and do not submit it again.
     pub fn abandon_job(&mut self, at: Duration, job: JobId) {
         let at = at.as_micros() as u64;
-        self.schedule.add(at, Act::Leave { job });
+        self.schedule.add(at, Action::CallersLeave { job });
     }
 
-    /// Lets the caller of a job guess this time for each of its tasks.
+    /// Sets the caller's estimate of the run time of each task of a job.
     pub fn set_estimate(&mut self, job: JobId, guess: Duration) {
         let job = self.jobs.get_mut(&job);
         let steps = job.into_iter().flat_map(|job| &mut job.request.steps);
--- a/crates/mastknot_virtual/src/jobs/targets.rs
+++ b/crates/mastknot_virtual/src/jobs/targets.rs
@@ -1,4 +1,4 @@
-//! Calls to fake targets, and what they answer.
+//! Calls to fake targets and their answers.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -8,24 +8,25 @@
 use mastknot_core::job::{Capacity, RunId, TargetId, TargetProfile};
 use rand::RngExt;
 
-use super::act::Act;
-use super::job_system::{BEAT, CallFate, JobSystem, MILLI, TARGET_DELAY};
-use super::target_slot::OpenLook;
-use super::variants::NamesKept;
+use super::action::Action;
+use super::job_system::{CallOutcome, HEARTBEAT_INTERVAL, JobSystem, MILLI, TARGET_DELAY};
+use super::target_slot::OpenProbe;
+use super::variants::TargetNaming;
 use super::virtual_target::{TargetBehaviour, VirtualStart, VirtualTarget};
 
-/// A room that has changed is known to the side by then, which may stand still for 3.5 s: a beat, and a call on its way.
-const ROOM_KNOWN_AFTER: u64 = 3_500 * MILLI + BEAT + 100 * MILLI;
+/// Time after which the side knows a changed capacity, in microseconds: a pause of the side of up to 3.5 s, a
+/// heartbeat interval, and a call under way.
+const CAPACITY_KNOWN_AFTER: u64 = 3_500 * MILLI + HEARTBEAT_INTERVAL + 100 * MILLI;
 
-/// How late a call is done that gets no answer, in microseconds.
+/// Range of delays after which a call that gets no answer is applied, in microseconds.
 const LATE_CALLS: Range<u64> = 2_000_000..12_000_000;
 
 impl JobSystem {
     pub(super) fn start_target(&mut self, side: usize) {
         let slow = self.rng.random_range(0..=20);
         let slot = &mut self.targets[side];
-        slot.lives += 1;
-        let lives = slot.lives;
+        slot.target_incarnation += 1;
+        let target_incarnation = slot.target_incarnation;
         let id = self.target_id(side);
         let capacity = Capacity {
             cpu_millis: self.settings.cpu_millis,
@@ -33,29 +34,41 @@
             accelerators: 0,
         };
         let mut target = VirtualTarget::new(id, capacity, slow, self.now);
-        target.longest_hold_ms = self.longest_hold.as_millis() as u64;
+        target.max_hold_ms = self.max_hold.as_millis() as u64;
         self.targets[side].target = Some(target);
-        self.later(MILLI, Act::Beat { side, lives });
+        self.schedule_in(
+            MILLI,
+            Action::Heartbeat {
+                side,
+                target_incarnation,
+            },
+        );
     }
 
-    /// What the life is called that starts now.
+    /// Returns the id of the current incarnation of a target.
     pub(super) fn target_id(&self, side: usize) -> TargetId {
-        let lives = self.targets[side].lives;
-        match self.names_kept {
-            NamesKept::None => TargetId::named(format!("target-{side}-{lives}")),
-            // No two lives of a target start in one millisecond.
-            NamesKept::WithBirths => {
+        let target_incarnation = self.targets[side].target_incarnation;
+        match self.target_naming {
+            TargetNaming::PerIncarnation => {
+                TargetId::named(format!("target-{side}-{target_incarnation}"))
+            }
+            // No two incarnations of a target start in the same millisecond.
+            TargetNaming::KeptWithStartTime => {
                 TargetId::started_at(format!("target-{side}"), self.now / MILLI + 1)
             }
-            NamesKept::WithoutBirths | NamesKept::ByNumbers => {
+            TargetNaming::KeptWithoutStartTime | TargetNaming::KeptWithReportNumbers => {
                 TargetId::named(format!("target-{side}"))
             }
         }
     }
 
-    pub(super) fn beat(&mut self, side: usize, lives: u64) {
+    pub(super) fn send_heartbeat(&mut self, side: usize, target_incarnation: u64) {
         let slot = &self.targets[side];
-        let Some(target) = slot.target.as_ref().filter(|_| slot.lives == lives) else {
+        let Some(target) = slot
+            .target
+            .as_ref()
+            .filter(|_| slot.target_incarnation == target_incarnation)
+        else {
             return;
         };
         let cold_until = match target.hides_cold {
@@ -79,17 +92,30 @@
             number: target.report_number(self.now),
             cold_for: Duration::from_micros(cold_until.saturating_sub(self.now)),
         });
-        let life = self.sides[side].life;
+        let incarnation = self.sides[side].incarnation;
         let event = Box::new(event);
         let held = self.targets[side]
-            .reports_held_until
+            .reports_delayed_until
             .saturating_sub(self.now);
         let delay = held.max(TARGET_DELAY);
-        self.later(delay, Act::SideInput { side, life, event });
-        self.later(BEAT, Act::Beat { side, lives });
+        self.schedule_in(
+            delay,
+            Action::SideInput {
+                side,
+                incarnation,
+                event,
+            },
+        );
+        self.schedule_in(
+            HEARTBEAT_INTERVAL,
+            Action::Heartbeat {
+                side,
+                target_incarnation,
+            },
+        );
     }
 
-    /// A target's room changes; it says so with its next beat.
+    /// Changes the capacity of a target, which reports it with its next heartbeat.
     pub(super) fn resize_target(&mut self, side: usize, cpu_millis: u32) {
         let now = self.now;
         if let Some(target) = &mut self.targets[side].target {
@@ -98,85 +124,110 @@
         }
     }
 
-    /// Whether a target holds more than its room although that has been known for long.
-    fn check_room(&mut self, side: usize, run: RunId) {
+    /// Records a violation if the runs of a target exceed its capacity although the side must know that
+    /// capacity.
+    fn check_capacity(&mut self, side: usize, run: RunId) {
         let Some(target) = &self.targets[side].target else {
             return;
         };
-        let is_known = self.now > target.resized + ROOM_KNOWN_AFTER;
+        let is_known = self.now > target.resized + CAPACITY_KNOWN_AFTER;
         let used = target.used();
         if is_known && !target.capacity.covers(&used) {
-            self.audit.started_without_room(run, used.cpu_millis);
+            self.audit.started_without_capacity(run, used.cpu_millis);
         }
     }
 
-    /// What becomes of the next call to a target.
-    pub(super) fn call_fate(&mut self, side: usize) -> CallFate {
+    /// Returns the outcome of the next call to a target.
+    pub(super) fn next_call_outcome(&mut self, side: usize) -> CallOutcome {
         let slot = &mut self.targets[side];
         slot.calls += 1;
         let Some(target) = &slot.target else {
-            return match slot.is_dark {
-                true => CallFate::Lost,
-                false => CallFate::Refused,
+            return match slot.is_silent {
+                true => CallOutcome::Lost,
+                false => CallOutcome::Refused,
             };
         };
-        match target.mood {
+        match target.behaviour {
             TargetBehaviour::AppliesLate(every) if slot.calls.is_multiple_of(every) => {
-                CallFate::Late(self.rng.random_range(LATE_CALLS))
+                CallOutcome::Late(self.rng.random_range(LATE_CALLS))
             }
             TargetBehaviour::LosesAnswers(every) if slot.calls.is_multiple_of(every) => {
-                CallFate::Unanswered
+                CallOutcome::Unanswered
             }
-            _ => CallFate::Done,
+            _ => CallOutcome::Done,
         }
     }
 
-    /// What becomes of the next order to stop.
-    fn stop_fate(&mut self, side: usize) -> CallFate {
+    /// Returns the outcome of the next stop order.
+    fn next_stop_outcome(&mut self, side: usize) -> CallOutcome {
         let slot = &mut self.targets[side];
-        let mood = slot.target.as_ref().map(|target| target.mood);
-        let Some(TargetBehaviour::StopsLate(every)) = mood else {
-            return self.call_fate(side);
+        let behaviour = slot.target.as_ref().map(|target| target.behaviour);
+        let Some(TargetBehaviour::StopsLate(every)) = behaviour else {
+            return self.next_call_outcome(side);
         };
         slot.stops += 1;
         match slot.stops.is_multiple_of(every) {
-            true => CallFate::Late(self.rng.random_range(LATE_CALLS)),
-            false => CallFate::Done,
+            true => CallOutcome::Late(self.rng.random_range(LATE_CALLS)),
+            false => CallOutcome::Done,
         }
     }
 
-    pub(super) fn side_input(&mut self, delay: u64, side: usize, life: u64, event: AgentEvent) {
+    pub(super) fn side_input(
+        &mut self,
+        delay: u64,
+        side: usize,
+        incarnation: u64,
+        event: AgentEvent,
+    ) {
         let event = Box::new(event);
-        self.later(delay, Act::SideInput { side, life, event });
+        self.schedule_in(
+            delay,
+            Action::SideInput {
+                side,
+                incarnation,
+                event,
+            },
+        );
     }
 
-    pub(super) fn order_start(&mut self, side: usize, life: u64, start: VirtualStart, limit: u64) {
+    pub(super) fn order_start(
+        &mut self,
+        side: usize,
+        incarnation: u64,
+        start: VirtualStart,
+        timeout: u64,
+    ) {
         let run = start.run;
         let start = Box::new(start);
-        let lives = self.targets[side].lives;
+        let target_incarnation = self.targets[side].target_incarnation;
         let outcome = |outcome| AgentEvent::OrderAnswered { run, outcome };
-        let arrives = |is_answered| Act::TargetStart {
+        let arrives = |is_answered| Action::TargetStart {
             side,
-            life,
-            lives,
+            incarnation,
+            target_incarnation,
             start: start.clone(),
             is_answered,
         };
-        match self.call_fate(side) {
-            CallFate::Done => self.later(TARGET_DELAY, arrives(true)),
-            CallFate::Unanswered => {
-                self.later(TARGET_DELAY, arrives(false));
-                self.side_input(limit, side, life, outcome(OrderOutcome::NoAnswer));
+        match self.next_call_outcome(side) {
+            CallOutcome::Done => self.schedule_in(TARGET_DELAY, arrives(true)),
+            CallOutcome::Unanswered => {
+                self.schedule_in(TARGET_DELAY, arrives(false));
+                self.side_input(timeout, side, incarnation, outcome(OrderOutcome::NoAnswer));
             }
-            CallFate::Late(delay) => {
-                self.later(delay, arrives(false));
-                self.side_input(limit, side, life, outcome(OrderOutcome::NoAnswer));
+            CallOutcome::Late(delay) => {
+                self.schedule_in(delay, arrives(false));
+                self.side_input(timeout, side, incarnation, outcome(OrderOutcome::NoAnswer));
             }
-            CallFate::Lost => {
-                self.side_input(limit, side, life, outcome(OrderOutcome::NoAnswer));
+            CallOutcome::Lost => {
+                self.side_input(timeout, side, incarnation, outcome(OrderOutcome::NoAnswer));
             }
-            CallFate::Refused => {
-                self.side_input(TARGET_DELAY, side, life, outcome(OrderOutcome::Unreachable));
+            CallOutcome::Refused => {
+                self.side_input(
+                    TARGET_DELAY,
+                    side,
+                    incarnation,
+                    outcome(OrderOutcome::Unreachable),
+                );
             }
         }
     }
@@ -184,54 +235,64 @@
     pub(super) fn order_stop(
         &mut self,
         side: usize,
-        life: u64,
+        incarnation: u64,
         run: RunId,
         token: u64,
-        limit: u64,
+        timeout: u64,
     ) {
         let failed = AgentEvent::StopAnswered {
             run,
             is_acknowledged: false,
         };
-        let arrives = |is_answered| Act::TargetStop {
+        let arrives = |is_answered| Action::TargetStop {
             side,
-            life,
+            incarnation,
             run,
             token,
             is_answered,
         };
-        match self.stop_fate(side) {
-            CallFate::Done => self.later(TARGET_DELAY, arrives(true)),
-            CallFate::Unanswered => {
-                self.later(TARGET_DELAY, arrives(false));
-                self.side_input(limit, side, life, failed);
+        match self.next_stop_outcome(side) {
+            CallOutcome::Done => self.schedule_in(TARGET_DELAY, arrives(true)),
+            CallOutcome::Unanswered => {
+                self.schedule_in(TARGET_DELAY, arrives(false));
+                self.side_input(timeout, side, incarnation, failed);
             }
-            CallFate::Late(delay) => {
-                self.later(delay, arrives(false));
-                self.side_input(limit, side, life, failed);
+            CallOutcome::Late(delay) => {
+                self.schedule_in(delay, arrives(false));
+                self.side_input(timeout, side, incarnation, failed);
             }
-            CallFate::Lost => self.side_input(limit, side, life, failed),
-            CallFate::Refused => self.side_input(TARGET_DELAY, side, life, failed),
+            CallOutcome::Lost => self.side_input(timeout, side, incarnation, failed),
+            CallOutcome::Refused => self.side_input(TARGET_DELAY, side, incarnation, failed),
         }
     }
 
-    pub(super) fn order_look(&mut self, side: usize, open: OpenLook, wait: u64) {
-        let (number, life) = (open.number, open.life);
-        let looked = |failure| AgentEvent::Probed {
+    pub(super) fn order_probe(&mut self, side: usize, open: OpenProbe, wait: u64) {
+        let (number, incarnation) = (open.number, open.incarnation);
+        let failed_probe = |failure| AgentEvent::Probed {
             number,
             result: Err(failure),
         };
-        match self.call_fate(side) {
-            CallFate::Done => {
+        match self.next_call_outcome(side) {
+            CallOutcome::Done => {
                 let open = Box::new(open);
-                self.later(TARGET_DELAY, Act::TargetLook { side, open, wait });
+                self.schedule_in(TARGET_DELAY, Action::TargetProbe { side, open, wait });
             }
-            CallFate::Refused => {
-                self.side_input(TARGET_DELAY, side, life, looked(ProbeFailure::Refused));
+            CallOutcome::Refused => {
+                self.side_input(
+                    TARGET_DELAY,
+                    side,
+                    incarnation,
+                    failed_probe(ProbeFailure::Refused),
+                );
             }
-            CallFate::Late(_) | CallFate::Unanswered | CallFate::Lost => {
-                let limit = open.limit;
-                self.side_input(limit, side, life, looked(ProbeFailure::Silent));
+            CallOutcome::Late(_) | CallOutcome::Unanswered | CallOutcome::Lost => {
+                let timeout = open.timeout;
+                self.side_input(
+                    timeout,
+                    side,
+                    incarnation,
+                    failed_probe(ProbeFailure::Silent),
+                );
             }
         }
     }
@@ -239,37 +300,37 @@
     pub(super) fn target_start(
         &mut self,
         side: usize,
-        life: u64,
-        lives: u64,
+        incarnation: u64,
+        target_incarnation: u64,
         start: &VirtualStart,
         is_answered: bool,
     ) {
         self.advance_target(side);
         let now = self.now;
-        // What a target has read and not done yet is gone with it.
-        let has_died = self.targets[side].lives != lives && !is_answered;
+        // A target that dies loses the calls that it has read and not applied yet.
+        let has_died = self.targets[side].target_incarnation != target_incarnation && !is_answered;
         let Some(target) = self.targets[side].target.as_mut().filter(|_| !has_died) else {
             return;
         };
-        let (outcome, has_begun) = target.start(now, start, !self.has_unguarded_targets);
+        let (outcome, has_begun) = target.start(now, start, !self.disables_capacity_checks);
         if has_begun {
-            self.check_room(side, start.run);
+            self.check_capacity(side, start.run);
             self.check_drained(side, start.run);
             self.audit.run_started(now, side, start.run);
-            self.plan_crash_under(side, start.run);
+            self.plan_target_crash(side, start.run);
         }
-        self.wake_target(side);
+        self.schedule_target_end(side);
         if is_answered {
             let run = start.run;
             let event = AgentEvent::OrderAnswered { run, outcome };
-            self.side_input(TARGET_DELAY, side, life, event);
+            self.side_input(TARGET_DELAY, side, incarnation, event);
         }
     }
 
     pub(super) fn target_stop(
         &mut self,
         side: usize,
-        life: u64,
+        incarnation: u64,
         run: RunId,
         token: u64,
         is_answered: bool,
@@ -280,80 +341,81 @@
             return;
         };
         let is_acknowledged = target.stop(now, run, token);
-        self.wake_target(side);
+        self.schedule_target_end(side);
         if is_answered {
             let event = AgentEvent::StopAnswered {
                 run,
                 is_acknowledged,
             };
-            self.side_input(TARGET_DELAY, side, life, event);
+            self.side_input(TARGET_DELAY, side, incarnation, event);
         }
     }
 
-    pub(super) fn target_look(&mut self, side: usize, open: OpenLook, wait: u64) {
+    pub(super) fn target_probe(&mut self, side: usize, open: OpenProbe, wait: u64) {
         self.advance_target(side);
         let number = open.number;
-        // The hold is renewed when the look arrives, not when it is answered.
+        // The hold is renewed when the probe arrives, not when it is answered.
         if let Some(target) = &mut self.targets[side].target {
-            let _ = target.look(self.now, &open.look);
+            let _ = target.probe(self.now, &open.probe);
         }
-        self.targets[side].open_look = Some(open);
-        self.wake_target(side);
-        if wait == 0 || self.has_news(side) {
-            self.answer_look(side, Some(number));
+        self.targets[side].open_probe = Some(open);
+        self.schedule_target_end(side);
+        if wait == 0 || self.has_update(side) {
+            self.answer_probe(side, Some(number));
         } else {
-            self.later(wait, Act::LookWaited { side, number });
+            self.schedule_in(wait, Action::ProbeWaited { side, number });
         }
     }
 
-    pub(super) fn has_news(&mut self, side: usize) -> bool {
+    pub(super) fn has_update(&mut self, side: usize) -> bool {
         let slot = &mut self.targets[side];
-        let (Some(target), Some(open)) = (&mut slot.target, &slot.open_look) else {
+        let (Some(target), Some(open)) = (&mut slot.target, &slot.open_probe) else {
             return false;
         };
-        let view = target.look(self.now, &open.look);
+        let view = target.probe(self.now, &open.probe);
         view.is_err() || view.is_ok_and(|view| !view.finished.is_empty())
     }
 
-    pub(super) fn answer_look(&mut self, side: usize, number: Option<u64>) {
+    pub(super) fn answer_probe(&mut self, side: usize, number: Option<u64>) {
         let slot = &mut self.targets[side];
         let is_open = slot
-            .open_look
+            .open_probe
             .as_ref()
             .is_some_and(|open| number.is_none_or(|number| number == open.number));
         if !is_open {
             return;
         }
-        let (Some(open), Some(target)) = (slot.open_look.take(), &mut slot.target) else {
+        let (Some(open), Some(target)) = (slot.open_probe.take(), &mut slot.target) else {
             return;
         };
-        let result: Result<TargetView, ProbeFailure> = target.look(self.now, &open.look);
-        let answered = Act::LookAnswered {
+        let result: Result<TargetView, ProbeFailure> = target.probe(self.now, &open.probe);
+        let answered = Action::ProbeAnswered {
             side,
-            lives: slot.lives,
+            target_incarnation: slot.target_incarnation,
             open: Box::new(open),
             result,
         };
-        self.later(TARGET_DELAY, answered);
+        self.schedule_in(TARGET_DELAY, answered);
     }
 
-    /// A target that dies resets its connections: what is on its way then is lost.
-    pub(super) fn look_answered(
+    /// Delivers the answer to a probe. A target that dies resets its connections, so an answer that is under
+    /// way then is lost.
+    pub(super) fn probe_answered(
         &mut self,
         side: usize,
-        lives: u64,
-        open: &OpenLook,
+        target_incarnation: u64,
+        open: &OpenProbe,
         result: Result<TargetView, ProbeFailure>,
     ) {
         let slot = &self.targets[side];
-        let has_died = slot.target.is_none() || slot.lives != lives;
-        let result = match has_died && !slot.is_dark {
+        let has_died = slot.target.is_none() || slot.target_incarnation != target_incarnation;
+        let result = match has_died && !slot.is_silent {
             true => Err(ProbeFailure::Silent),
             false => result,
         };
         let number = open.number;
         let event = AgentEvent::Probed { number, result };
-        self.side_input(0, side, open.life, event);
+        self.side_input(0, side, open.incarnation, event);
     }
 
     pub(super) fn advance_target(&mut self, side: usize) {
@@ -367,12 +429,12 @@
             self.audit.run_ended(now, side, end.run, end.is_done);
         }
         if has_ended {
-            self.answer_look(side, None);
+            self.answer_probe(side, None);
         }
-        self.wake_target(side);
+        self.schedule_target_end(side);
     }
 
-    pub(super) fn wake_target(&mut self, side: usize) {
+    pub(super) fn schedule_target_end(&mut self, side: usize) {
         let slot = &mut self.targets[side];
         let Some(next) = slot.target.as_ref().and_then(VirtualTarget::next_end) else {
             return;
@@ -380,23 +442,23 @@
         let at = next.max(self.now + 1);
         if slot.due_at.is_none_or(|due| at < due || due <= self.now) {
             slot.due_at = Some(at);
-            self.schedule.add(at, Act::TargetDue { side });
+            self.schedule.add(at, Action::TargetDue { side });
         }
     }
 
-    pub(super) fn crash_target(&mut self, side: usize, is_dark: bool) {
+    pub(super) fn crash_target(&mut self, side: usize, is_silent: bool) {
         self.advance_target(side);
         let slot = &mut self.targets[side];
-        slot.is_dark = is_dark;
+        slot.is_silent = is_silent;
         let Some(target) = slot.target.take() else {
             return;
         };
-        let open = slot.open_look.take();
+        let open = slot.open_probe.take();
         for run in target.running() {
             self.audit.run_ended(self.now, side, run, false);
         }
         if let Some(open) = open {
-            let failure = match is_dark {
+            let failure = match is_silent {
                 true => ProbeFailure::Silent,
                 false => ProbeFailure::Refused,
             };
@@ -404,7 +466,7 @@
                 number: open.number,
                 result: Err(failure),
             };
-            self.side_input(open.limit, side, open.life, event);
+            self.side_input(open.timeout, side, open.incarnation, event);
         }
     }
 }
--- a/crates/mastknot_virtual/src/jobs/variants.rs
+++ b/crates/mastknot_virtual/src/jobs/variants.rs
@@ -1,4 +1,5 @@
-//! What processes and targets must not do, or need not do: tests see that the audit notices, or that it makes no difference.
+//! Variants in which processes or targets behave wrongly, or differently without harm: tests verify that the
+//! audit detects the first and that the others make no difference.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,41 +10,44 @@
 
 use super::job_system::JobSystem;
 
-/// Whether targets start again under the names that they had.
+/// Naming of targets over restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NamesKept {
-    /// Each life has a name of its own.
-    None,
-    /// They do, and say when they started.
-    WithBirths,
-    /// They do, and say nothing of it: what they must not do.
-    WithoutBirths,
-    /// They do, and a report with a lower number than the one before counts as that of a new life: what sides must not do.
-    ByNumbers,
+pub(super) enum TargetNaming {
+    /// Each incarnation has a name of its own.
+    PerIncarnation,
+    /// Targets keep their names and report when they started.
+    KeptWithStartTime,
+    /// Targets keep their names and do not report when they started, which is wrong.
+    KeptWithoutStartTime,
+    /// Targets keep their names, and a report with a lower number than the previous one counts as that of a
+    /// new incarnation, which is wrong in a side.
+    KeptWithReportNumbers,
 }
 
 impl JobSystem {
-    /// Lets targets that start from now on keep their names over their lives.
+    /// Makes targets that start from now on keep their names over restarts.
     pub fn keep_target_names(&mut self) {
-        self.keep_names(NamesKept::WithBirths);
+        self.set_target_naming(TargetNaming::KeptWithStartTime);
     }
 
-    /// Lets targets keep their names without saying when they started: lives are told apart by name alone.
+    /// Makes targets keep their names without a report of their start times, so that incarnations are told
+    /// apart by name alone.
     pub fn omit_start_times(&mut self) {
-        self.keep_names(NamesKept::WithoutBirths);
+        self.set_target_naming(TargetNaming::KeptWithoutStartTime);
     }
 
-    /// Lets targets keep their names, and their lives be told apart by the numbers of their reports alone.
+    /// Makes targets keep their names, and incarnations be told apart by the numbers of reports alone.
     pub fn infer_restarts_from_report_numbers(&mut self) {
-        self.keep_names(NamesKept::ByNumbers);
+        self.set_target_naming(TargetNaming::KeptWithReportNumbers);
     }
 
-    /// Lets each grant of a side be told to the next entry that hears from it, too: what sides must not do.
+    /// Sends each grant of a side also to the next entry that receives a report from it, which sides must not
+    /// do.
     pub fn duplicate_grants(&mut self) {
         self.repeated_grants = Some(HashMap::new());
     }
 
-    /// Puts the last grant of the side into a report to an entry that has none.
+    /// Puts the last grant of the side into a report to an entry that contains none.
     pub(super) fn repeat_grant(&mut self, session: SessionId, report: &mut SideReport) {
         let Some((_, side)) = self.sessions.get(&session).copied() else {
             return;
@@ -59,21 +63,21 @@
         }
     }
 
-    /// Takes the births out of what comes from a target, and puts in what its numbers tell.
-    pub(super) fn bend_target_event(&mut self, side: usize, event: &mut AgentEvent) {
-        if self.names_kept != NamesKept::ByNumbers {
+    /// Replaces the start time in a target's report by a value derived from the numbers of its reports.
+    pub(super) fn distort_target_event(&mut self, side: usize, event: &mut AgentEvent) {
+        if self.target_naming != TargetNaming::KeptWithReportNumbers {
             return;
         }
         if let AgentEvent::TargetReported(report) = event {
             let slot = &mut self.targets[side];
-            slot.births += u64::from(report.number < slot.newest_number);
-            slot.newest_number = report.number;
-            report.profile.id.started_at_ms = 1 + slot.births;
+            slot.inferred_restarts += u64::from(report.number < slot.last_report_number);
+            slot.last_report_number = report.number;
+            report.profile.id.started_at_ms = 1 + slot.inferred_restarts;
         }
     }
 
-    fn keep_names(&mut self, kept: NamesKept) {
-        self.names_kept = kept;
+    fn set_target_naming(&mut self, kept: TargetNaming) {
+        self.target_naming = kept;
         for side in 0..self.targets.len() {
             let id = self.target_id(side);
             if let Some(target) = &mut self.targets[side].target {
@@ -82,37 +86,38 @@
         }
     }
 
-    /// Lets targets hold their runs for as long as they are asked to, up to this.
+    /// Sets the maximum time for which targets hold their runs without a renewal.
     pub fn set_max_hold(&mut self, longest: Duration) {
-        self.longest_hold = longest;
+        self.max_hold = longest;
         for slot in &mut self.targets {
             if let Some(target) = &mut slot.target {
-                target.longest_hold_ms = longest.as_millis() as u64;
+                target.max_hold_ms = longest.as_millis() as u64;
             }
         }
     }
 
-    /// Lets the processes read a clock that stands still while their VM is suspended: what they must not do.
+    /// Makes the processes read a clock that stops while their VM is suspended, which is wrong.
     pub fn use_clocks_stopped_by_suspension(&mut self) {
-        self.has_steady_clocks = true;
+        self.clocks_stop_during_suspension = true;
     }
 
-    /// Lets the sides go by the room that targets have at first: what they must not do.
+    /// Hides changes of the targets' capacity from their sides, which is wrong.
     pub fn hide_resizes(&mut self) {
         self.hides_resizes = true;
     }
 
-    /// Lets targets start whatever they are told: their room is kept by their sides alone.
+    /// Makes targets start whatever their sides order, so that only the sides enforce the capacity.
     pub fn disable_target_capacity_checks(&mut self) {
-        self.has_unguarded_targets = true;
+        self.disables_capacity_checks = true;
     }
 
-    /// Lets targets differ in speed: the speeds in percent go to their sides in turn, and each is a class of its own.
+    /// Sets the speeds of targets in percent, assigned to the sides in turn. Each speed forms a class of
+    /// targets.
     pub fn set_speeds(&mut self, percents: &[u64]) {
         self.speeds = percents.to_vec();
     }
 
-    /// The speed of a side's target in percent, and its class.
+    /// Returns the speed of a side's target in percent, and its class.
     pub(super) fn speed_of(&self, side: usize) -> Option<(u64, Arc<str>)> {
         let count = self.speeds.len();
         let percent = *self.speeds.get(side.checked_rem(count)?)?;
--- a/crates/mastknot_virtual/src/jobs/virtual_target.rs
+++ b/crates/mastknot_virtual/src/jobs/virtual_target.rs
@@ -6,111 +6,112 @@
 };
 use mastknot_core::job::{Capacity, RunId, TargetId, TaskRef};
 
-/// How a target behaves.
+/// Behaviour of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetBehaviour {
-    /// As it should.
+    /// The target behaves correctly.
     Healthy,
-    /// All that it starts fails.
+    /// Everything that the target starts fails.
     FailsAll,
-    /// What it starts stands still.
+    /// Runs make no progress and do not complete.
     Stalls,
     /// Work takes this many times as long.
     Slow(u64),
-    /// One call in so many gets no answer and is done up to seconds later.
+    /// One of this many calls gets no answer and is applied 2 to 12 seconds later.
     AppliesLate(u64),
-    /// One call in so many is done and not answered.
+    /// One of this many calls is applied and not answered.
     LosesAnswers(u64),
-    /// One order to stop in so many gets no answer and is done up to seconds later; all else is sound.
+    /// One of this many stop orders gets no answer and is applied 2 to 12 seconds later; all other calls
+    /// work.
     StopsLate(u64),
 }
 
 #[derive(Clone, Debug)]
 struct TargetRun {
-    room: Capacity,
+    capacity: Capacity,
     started: u64,
     work: u64,
     ends: Option<(u64, FinishReason)>,
 }
 
-/// A fake target that keeps the contract of a worker: holds, fencing tokens, attempts, ends.
+/// Fake target that keeps the contract of a worker: holds, fencing tokens, attempts and ends of runs.
 ///
-/// Its clock counts microseconds of the whole system, slowed by up to 2 percent.
+/// The clock of the target follows the time of the simulation, slowed by up to 2 percent.
 #[derive(Clone, Debug)]
 pub struct VirtualTarget {
     pub(super) id: TargetId,
     pub(super) capacity: Capacity,
-    /// When its room last changed.
+    /// Time at which the capacity last changed, in microseconds.
     pub(super) resized: u64,
-    /// Parts in a thousand by which its clock is slow.
+    /// Parts in a thousand by which the clock is slow.
     slow_permille: u64,
-    born: u64,
+    started_at: u64,
     hold_until_ms: u64,
     token: u64,
     fences: HashMap<TaskRef, u64>,
     runs: BTreeMap<RunId, TargetRun>,
     finished: Vec<TargetFinished>,
     next_end: u64,
-    pub(super) longest_hold_ms: u64,
-    pub(super) mood: TargetBehaviour,
-    /// Until when its work takes [`COLD_FACTOR`] times as long.
+    pub(super) max_hold_ms: u64,
+    pub(super) behaviour: TargetBehaviour,
+    /// Time until which work takes [`COLD_FACTOR`] times as long, in microseconds.
     pub(super) cold_until: u64,
-    /// Whether it does not say that it is cold.
+    /// Whether the target does not report that it is cold.
     pub(super) hides_cold: bool,
 }
 
-/// How much longer work takes at a cold target.
+/// Factor by which work takes longer at a cold target.
 const COLD_FACTOR: u64 = 3;
 
-/// What happened at a target since it was last asked.
+/// End of a run at a target since the last call of [`VirtualTarget::advance`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TargetEnd {
     pub(super) run: RunId,
     pub(super) is_done: bool,
 }
 
-/// How long a stop takes, in microseconds.
+/// Time that a stop takes, in microseconds.
 const STOP_MICROS: u64 = 40_000;
 
 impl VirtualTarget {
-    /// A target born now.
+    /// Creates a target that starts now.
     pub(super) fn new(id: TargetId, capacity: Capacity, slow_permille: u64, now: u64) -> Self {
         Self {
             id,
             capacity,
             resized: now,
             slow_permille,
-            born: now,
+            started_at: now,
             hold_until_ms: 0,
             token: 0,
             fences: HashMap::new(),
             runs: BTreeMap::new(),
             finished: Vec::new(),
             next_end: 0,
-            longest_hold_ms: 0,
-            mood: TargetBehaviour::Healthy,
+            max_hold_ms: 0,
+            behaviour: TargetBehaviour::Healthy,
             cold_until: 0,
             hides_cold: false,
         }
     }
 
-    /// The number of the report that it sends now.
+    /// Returns the number of a report that the target sends now.
     pub(super) fn report_number(&self, now: u64) -> u64 {
-        now.saturating_sub(self.born)
+        now.saturating_sub(self.started_at)
     }
 
     fn clock_ms(&self, now: u64) -> u64 {
-        let lived = now.saturating_sub(self.born);
-        1_000 + lived * (1_000 - self.slow_permille) / 1_000_000
+        let uptime = now.saturating_sub(self.started_at);
+        1_000 + uptime * (1_000 - self.slow_permille) / 1_000_000
     }
 
-    /// The time at which its clock shows a value.
+    /// Returns the time at which the target's clock shows a value, in microseconds.
     fn at_clock(&self, clock_ms: u64) -> u64 {
-        let lived_ms = clock_ms.saturating_sub(1_000);
-        self.born + lived_ms * 1_000_000 / (1_000 - self.slow_permille)
+        let uptime_ms = clock_ms.saturating_sub(1_000);
+        self.started_at + uptime_ms * 1_000_000 / (1_000 - self.slow_permille)
     }
 
-    /// The next time at which something ends by itself.
+    /// Returns the next time at which a run ends by itself or the hold expires, in microseconds.
     pub(super) fn next_end(&self) -> Option<u64> {
         let own = self
             .runs
@@ -120,14 +121,14 @@
         own.chain(hold).min()
     }
 
-    /// Ends what is due.
+    /// Ends the runs that are due, or whose hold has expired, and returns them.
     pub(super) fn advance(&mut self, now: u64) -> Vec<TargetEnd> {
-        let lapses = now >= self.at_clock(self.hold_until_ms);
+        let is_hold_expired = now >= self.at_clock(self.hold_until_ms);
         let mut ends = Vec::new();
         for (run, state) in &self.runs {
             match state.ends {
                 Some((at, how)) if at <= now => ends.push((*run, how)),
-                _ if lapses => ends.push((*run, FinishReason::HoldExpired)),
+                _ if is_hold_expired => ends.push((*run, FinishReason::HoldExpired)),
                 _ => {}
             }
         }
@@ -156,22 +157,23 @@
     }
 
     fn extend_hold(&mut self, now: u64, until_ms: u64) {
-        let longest = self.clock_ms(now) + self.longest_hold_ms;
+        let longest = self.clock_ms(now) + self.max_hold_ms;
         self.hold_until_ms = self.hold_until_ms.max(until_ms.min(longest));
     }
 
-    /// What runs takes, what is being stopped included.
+    /// Returns the capacity that all runs use, including those that are being stopped.
     pub(super) fn used(&self) -> Capacity {
         let runs = self.runs.values();
-        runs.fold(Capacity::default(), |used, run| used.with(&run.room))
+        runs.fold(Capacity::default(), |used, run| used.with(&run.capacity))
     }
 
-    /// Starts a run; says whether it began now. A target that does not guard its room starts what does not fit.
+    /// Starts a run and returns the outcome and whether the run began now. Without `checks_capacity` the
+    /// target also starts runs that exceed its capacity.
     pub(super) fn start(
         &mut self,
         now: u64,
         order: &VirtualStart,
-        guards_room: bool,
+        checks_capacity: bool,
     ) -> (OrderOutcome, bool) {
         let clock_ms = self.clock_ms(now);
         let refused = |refusal| (OrderOutcome::Refused(refusal), false);
@@ -201,7 +203,7 @@
         if order.run.attempt <= fence {
             return refused(OrderRefusal::OldAttempt);
         }
-        if guards_room && !self.capacity.without(&self.used()).covers(&order.room) {
+        if checks_capacity && !self.capacity.without(&self.used()).covers(&order.capacity) {
             return refused(OrderRefusal::NoRoom);
         }
         let factor = if now < self.cold_until {
@@ -209,14 +211,14 @@
         } else {
             1
         };
-        let ends = match order.task_mood.unwrap_or(self.mood) {
+        let ends = match order.task_behaviour.unwrap_or(self.behaviour) {
             TargetBehaviour::FailsAll => Some((now + 5_000, FinishReason::Failed)),
             TargetBehaviour::Stalls => None,
             TargetBehaviour::Slow(factor) => Some((now + order.work * factor, FinishReason::Done)),
             _ => Some((now + order.work * factor, FinishReason::Done)),
         };
         let run = TargetRun {
-            room: order.room,
+            capacity: order.capacity,
             started: now,
             work: order.work,
             ends,
@@ -225,7 +227,7 @@
         (OrderOutcome::Started { clock_ms }, true)
     }
 
-    /// Stops a run; whether that was acknowledged.
+    /// Stops a run and returns whether the order was acknowledged.
     pub(super) fn stop(&mut self, now: u64, run: RunId, token: u64) -> bool {
         if token < self.token {
             return false;
@@ -244,32 +246,32 @@
         true
     }
 
-    /// What a look shows.
-    pub(super) fn look(
+    /// Returns the view of the target that a probe receives.
+    pub(super) fn probe(
         &mut self,
         now: u64,
-        look: &VirtualLook,
+        probe: &VirtualProbe,
     ) -> Result<TargetView, ProbeFailure> {
         let clock_ms = self.clock_ms(now);
-        if look
+        if probe
             .target
             .as_ref()
             .is_some_and(|target| target.name != self.id.name)
         {
             return Err(ProbeFailure::OtherIncarnation);
         }
-        if look.token < self.token {
+        if probe.token < self.token {
             return Err(ProbeFailure::Fenced { clock_ms });
         }
-        self.token = look.token;
-        if let Some(until) = look.hold_until_ms {
+        self.token = probe.token;
+        if let Some(until) = probe.hold_until_ms {
             self.extend_hold(now, until);
         }
-        self.finished.retain(|end| end.number > look.last_seen);
+        self.finished.retain(|end| end.number > probe.last_seen);
         let percent = |run: &TargetRun| match run.ends {
             Some((ends, _)) => {
-                let whole = ends.saturating_sub(run.started).max(1);
-                ((now - run.started) * 100 / whole).min(99) as u8
+                let total = ends.saturating_sub(run.started).max(1);
+                ((now - run.started) * 100 / total).min(99) as u8
             }
             None => (run.work % 2) as u8,
         };
@@ -285,29 +287,29 @@
         })
     }
 
-    /// What runs now.
+    /// Returns the current runs.
     pub(super) fn running(&self) -> Vec<RunId> {
         self.runs.keys().copied().collect()
     }
 }
 
-/// An order to start as the fake target takes it.
+/// Start order as the fake target receives it.
 #[derive(Clone, Debug)]
 pub(super) struct VirtualStart {
     pub(super) run: RunId,
-    pub(super) room: Capacity,
-    /// How long the work takes, in microseconds.
+    pub(super) capacity: Capacity,
+    /// Run time of the work, in microseconds.
     pub(super) work: u64,
-    /// How a target behaves that starts this task, whatever its mood.
-    pub(super) task_mood: Option<TargetBehaviour>,
+    /// Behaviour of the target for this task, in place of its own.
+    pub(super) task_behaviour: Option<TargetBehaviour>,
     pub(super) hold_until_ms: u64,
     pub(super) token: u64,
     pub(super) target: Option<TargetId>,
 }
 
-/// A look as the fake target takes it.
+/// Probe as the fake target receives it.
 #[derive(Clone, Debug)]
-pub(super) struct VirtualLook {
+pub(super) struct VirtualProbe {
     pub(super) hold_until_ms: Option<u64>,
     pub(super) token: u64,
     pub(super) last_seen: u64,
--- a/crates/mastknot_virtual/src/lib.rs
+++ b/crates/mastknot_virtual/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decision cores of mastknot in virtual time, with small fakes at their interfaces.
+//! Runs the decision cores of mastknot in virtual time against small fakes of their interfaces.
 //!
-//! The bench compares policies with it over many seeds in seconds, and the tests bring about
-//! faults with it. It carries the messages of the real cores, keeps a fake store and fake
-//! targets, and audits the promises; it knows nothing of how a decision is made. It is no
-//! simulator of a platform: there are no packets, processors or disks in it.
+//! The benchmark uses the simulation to compare policies over many seeds in seconds, and the tests use it to
+//! inject faults. The simulation carries the messages of the real cores, provides a fake store and fake
+//! targets, and audits the guarantees; it contains no decision logic of its own. It does not simulate a
+//! platform: there are no packets, processors or disks.
 //!
 //! This crate has no feature flags.
 
--- a/crates/mastknot_virtual/src/store/mod.rs
+++ b/crates/mastknot_virtual/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The fake of the platform's key-value service.
+//! Fake of the platform's key-value service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 use mastknot_core::message::{ConfigDelta, ConfigItem, ResourceName};
 use mastknot_core::roster::{Roster, RosterWrite, WriteDecision};
 
-/// What the store does wrong.
+/// Faults of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VirtualStoreFaults {
-    /// Calls fail, watches say nothing.
+    /// Whether calls fail and watches deliver no updates.
     pub is_down: bool,
-    /// Each answer takes this much longer.
+    /// Additional time that each answer takes.
     pub extra_delay: Duration,
-    /// The answers of the next writes that take effect are lost.
+    /// Number of following writes that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// Watches say nothing.
+    /// Whether watches deliver no updates.
     pub is_watch_silent: bool,
-    /// Lists answer from this many writes ago.
+    /// Number of most recent writes that are missing in the answers of lists.
     pub stale_writes: u64,
 }
 
-/// One versioned store with a roster and resources.
+/// Versioned store that holds a roster and resources.
 #[derive(Clone, Debug, Default)]
 pub struct VirtualStore {
-    /// What it does wrong.
+    /// Faults of the store that are in force.
     pub faults: VirtualStoreFaults,
-    /// Calls so far.
+    /// Number of calls so far.
     pub calls: u64,
     revision: u64,
     roster: Option<(u64, Roster)>,
@@ -35,12 +35,12 @@
 }
 
 impl VirtualStore {
-    /// The roster with its revision.
+    /// Returns the roster with its revision.
     pub fn roster(&self) -> Option<(u64, Roster)> {
         self.roster.clone()
     }
 
-    /// Swaps the roster.
+    /// Replaces the roster if the store holds the revision that the write expects.
     pub fn write_roster(&mut self, write: RosterWrite) -> WriteDecision {
         let held = self.roster.as_ref().map_or(0, |(revision, _)| *revision);
         if held != write.expected_revision {
@@ -51,20 +51,20 @@
         WriteDecision::Written(self.revision)
     }
 
-    /// Whether the answer of a write that took effect is lost.
+    /// Returns whether the answer to a write that took effect is lost, and counts down the lost answers.
     pub fn loses_answer(&mut self) -> bool {
         let loses = self.faults.lose_answers > 0;
         self.faults.lose_answers = self.faults.lose_answers.saturating_sub(1);
         loses
     }
 
-    /// A resource with its revision.
+    /// Returns a resource with its revision.
     pub fn resource(&self, name: &ResourceName) -> Option<(u64, StoredResource)> {
         let found = self.writes.iter().rev().find(|(_, other, _)| other == name);
         found.map(|(revision, _, resource)| (*revision, resource.clone()))
     }
 
-    /// Swaps a resource.
+    /// Replaces a resource if the store holds the expected revision.
     pub fn write_resource(
         &mut self,
         name: &ResourceName,
@@ -80,7 +80,7 @@
         WriteCall::Swapped(self.revision)
     }
 
-    /// The whole configuration, from `stale` writes ago.
+    /// Returns the whole configuration without the `stale` most recent writes.
     pub fn list(&self, stale: u64) -> ConfigDelta {
         let kept = self.writes.len().saturating_sub(stale as usize);
         let mut latest: BTreeMap<ResourceName, ConfigItem> = BTreeMap::new();
--- a/crates/mastknot_virtual/src/system/building.rs
+++ b/crates/mastknot_virtual/src/system/building.rs
@@ -1,4 +1,4 @@
-//! Starting entries and sides, and linking them.
+//! Starts entries and sides and links them.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -35,14 +35,14 @@
             paused_until: 0,
             tick_at: None,
             skew_ms: 0,
-            fed_version: 0,
+            delivered_version: 0,
             stopped: false,
         });
         self.start_entry(index);
         index
     }
 
-    /// Starts a side named `side-N` in a hall with this many slots.
+    /// Starts a side named `side-N` in a hall with the given number of slots.
     pub fn add_side(&mut self, hall: &str, slots: u16) -> SideIndex {
         let index = self.sides.len();
         let name = format!("side-{}", index + 1);
@@ -68,7 +68,7 @@
         Incarnation(self.next_incarnation)
     }
 
-    /// Starts a dead entry again, as a new run.
+    /// Restarts a dead entry as a new incarnation.
     pub fn start_entry(&mut self, index: EntryIndex) {
         let incarnation = self.new_incarnation();
         let entry = &mut self.entries[index];
@@ -76,7 +76,7 @@
         entry.core = Some(EntryCore::new(entry.settings.clone()));
         entry.paused_until = 0;
         entry.tick_at = None;
-        entry.fed_version = 0;
+        entry.delivered_version = 0;
         entry.stopped = false;
         let name = entry.name().clone();
         self.audit.record_restart(&name);
@@ -94,7 +94,7 @@
             .add(self.now, Action::Feed(index, incarnation));
     }
 
-    /// Starts a dead side again, as a new run.
+    /// Restarts a dead side as a new incarnation.
     pub fn start_side(&mut self, index: SideIndex) {
         let incarnation = self.new_incarnation();
         let side = &mut self.sides[index];
@@ -135,7 +135,10 @@
         }
         let name = self.entries[entry].name().clone();
         self.sides[side].links.insert(name.clone());
-        let at = self.delivery(side_end(&self.sides[side]), entry_end(&self.entries[entry]));
+        let at = self.delivery(
+            side_name_and_hall(&self.sides[side]),
+            entry_name_and_hall(&self.entries[entry]),
+        );
         let event = SideEvent::EntryJoined { entry: name };
         self.at_side(at, side, event);
     }
--- a/crates/mastknot_virtual/src/system/callers.rs
+++ b/crates/mastknot_virtual/src/system/callers.rs
@@ -1,4 +1,4 @@
-//! What callers and operators do.
+//! Actions of callers and operators.
 
 use mastknot_core::config::{ConfigWrite, StoredResource, WriteCall, WriteStep};
 use mastknot_core::entry::{CallerRequest, EntryEvent, RequestId};
@@ -12,18 +12,19 @@
 use crate::MessageKind;
 
 impl VirtualSystem {
-    /// A new key made now.
+    /// Returns a new key that is created at the current time.
     pub fn new_key(&mut self) -> SubmissionKey {
         SubmissionKey::new(self.wall(0), self.rng.random())
     }
 
-    /// Sends a submission to an entry; returns the request's number.
+    /// Sends a submission to an entry and returns the number of the request.
     pub fn submit(&mut self, entry: EntryIndex, submission: Submission) -> RequestId {
         let at = self.now;
         self.submit_at(at, entry, submission)
     }
 
-    /// Sends a submission to an entry at a later time.
+    /// Sends a submission to an entry at the time `at`, in microseconds, and returns the number of the
+    /// request.
     pub fn submit_at(&mut self, at: u64, entry: EntryIndex, submission: Submission) -> RequestId {
         let request = self.next_request;
         self.next_request += 1;
@@ -51,21 +52,21 @@
         if let Some(submitted) = self.requests.get_mut(&request) {
             submitted.sent_to = Some((entry, run));
         }
-        self.fire(MessageKind::Submit, Some(entry), None);
+        self.fire_triggers(MessageKind::Submit, Some(entry), None);
         self.at_entry(self.now, entry, EntryEvent::FromCaller { request, ask });
     }
 
-    /// Asks an entry to stop by plan.
+    /// Requests a planned stop of an entry.
     pub fn stop_entry(&mut self, entry: EntryIndex) {
         self.at_entry(self.now, entry, EntryEvent::Stop);
     }
 
-    /// Asks a side to leave.
+    /// Requests that a side leave.
     pub fn drain_side(&mut self, side: SideIndex) {
         self.at_side(self.now, side, SideEvent::Drain);
     }
 
-    /// Writes a resource at once, as an operator would; returns the last step.
+    /// Writes a resource at once, as an operator does, and returns the last step of the write.
     pub fn write_resource(&mut self, kind: &str, name: &str, value: &str) -> WriteStep {
         let resource = ResourceName::new(kind, name);
         let current = self.store.resource(&resource);
