--- a/crates/mastknot_virtual/src/system/delays.rs
+++ b/crates/mastknot_virtual/src/system/delays.rs
@@ -2,21 +2,21 @@
 
 use mastknot_core::types::Hall;
 
-/// How long messages take.
+/// Delivery times of messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
-    /// One way within a hall.
+    /// Delay in one direction within a hall.
     pub within_hall: Duration,
-    /// One way between halls.
+    /// Delay in one direction between two halls.
     pub between_halls: Duration,
-    /// One way between a caller and an entry.
+    /// Delay in one direction between a caller and an entry.
     pub to_callers: Duration,
-    /// A call to the store, there and back.
+    /// Time of a call to the store, both directions included.
     pub store: Duration,
 }
 
 impl Delays {
-    /// Kalahari's halls.
+    /// Delays between Kalahari's halls.
     pub const KALAHARI: Self = Self {
         within_hall: Duration::from_micros(100),
         between_halls: Duration::from_millis(1),
@@ -24,7 +24,7 @@
         store: Duration::from_millis(3),
     };
 
-    /// The co-op's halls.
+    /// Delays between the halls of the co-op.
     pub const CO_OP: Self = Self {
         within_hall: Duration::from_micros(100),
         between_halls: Duration::from_micros(1_500),
@@ -32,7 +32,7 @@
         store: Duration::from_millis(3),
     };
 
-    /// One way between two halls.
+    /// Returns the delay in one direction between two halls.
     pub fn between(&self, a: &Hall, b: &Hall) -> Duration {
         if a == b {
             self.within_hall
--- a/crates/mastknot_virtual/src/system/entries.rs
+++ b/crates/mastknot_virtual/src/system/entries.rs
@@ -1,4 +1,4 @@
-//! Delivering to entries and carrying out what they want.
+//! Delivers events to entries and carries out the effects that their cores return.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use super::virtual_system::*;
 use crate::{MessageKind, Violation};
 
-/// How often an entry's feed checks that its watch has skipped nothing.
-const FEED_CHECK: Duration = Duration::from_secs(1);
+/// Interval at which an entry's configuration feed checks that its watch has missed nothing.
+const FEED_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl VirtualSystem {
     pub(super) fn at_entry(&mut self, at: u64, entry: EntryIndex, event: EntryEvent) {
@@ -99,7 +99,7 @@
             }
             EntryEffect::Stopped => {
                 self.entries[index].stopped = true;
-                // The process ends once its last messages have left.
+                // The process ends once its last messages have been sent.
                 self.kill_entry(index);
             }
         }
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn read_roster(&mut self, index: EntryIndex) {
-        self.fire(MessageKind::Store, Some(index), None);
+        self.fire_triggers(MessageKind::Store, Some(index), None);
         self.store.calls += 1;
         let at = self.store_answer_at();
         let event = if self.store.faults.is_down {
@@ -138,7 +138,8 @@
         self.at_entry(at, index, EntryEvent::RosterWritten { written });
     }
 
-    /// The configuration feed of an entry: a watch that may be silent, and a check behind it.
+    /// Runs the configuration feed of an entry: a watch that may be silent, and a periodic check that finds
+    /// what the watch has missed.
     pub(super) fn feed(&mut self, index: EntryIndex, incarnation: Incarnation) {
         if self.entries[index].core.is_none() || self.entries[index].incarnation() != incarnation {
             return;
@@ -147,18 +148,18 @@
         if !faults.is_down {
             self.store.calls += 1;
             let delta = self.store.list(faults.stale_writes);
-            if delta.version != self.entries[index].fed_version {
-                self.entries[index].fed_version = delta.version;
+            if delta.version != self.entries[index].delivered_version {
+                self.entries[index].delivered_version = delta.version;
                 let at = self.store_answer_at();
                 self.at_entry(at, index, EntryEvent::Config(delta));
             }
         }
-        // A silent or broken watch leaves only the check.
+        // Without a working watch, the feed finds updates by the check alone.
         let has_watch = !faults.is_down && !faults.is_watch_silent;
         let pause = if has_watch {
-            FEED_CHECK / 20
+            FEED_CHECK_INTERVAL / 20
         } else {
-            FEED_CHECK
+            FEED_CHECK_INTERVAL
         };
         let at = self.now + pause.as_micros() as u64;
         self.schedule.add(at, Action::Feed(index, incarnation));
--- a/crates/mastknot_virtual/src/system/fault_injection.rs
+++ b/crates/mastknot_virtual/src/system/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Bringing faults about.
+//! Injects faults into the system.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use super::{EntryIndex, SideIndex};
 use crate::{FaultRule, MessageKind, ProcessFault, Trigger};
 
-/// How long until a broken link is noticed and, for a dead process, the refusal is seen.
-const NOTICE: Duration = Duration::from_millis(300);
+/// Time from the loss of the links to a dead entry until its peers notice that its VM refuses connections.
+const DEATH_NOTICE_DELAY: Duration = Duration::from_millis(300);
 
-/// How long messages into a cut wait before the link counts as broken.
-const CUT_LIMIT: Duration = Duration::from_secs(5);
+/// Time that messages wait in a partition before the link counts as broken.
+const PARTITION_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl VirtualSystem {
-    /// The next `count` messages of a kind meet a fate.
+    /// Adds a rule that applies a fault to the next messages of a kind.
     pub fn add_rule(&mut self, rule: FaultRule) {
         self.rules.push(rule);
     }
 
-    /// A process fault at the next message of a kind.
+    /// Adds a process fault that a message of a kind triggers.
     pub fn add_trigger(&mut self, trigger: Trigger) {
         self.triggers.push(trigger);
     }
 
-    /// Fires the triggers of a message between an entry and, where there is one, a side.
-    pub(super) fn fire(
+    /// Fires the triggers of a message between an entry and, if one takes part, a side.
+    pub(super) fn fire_triggers(
         &mut self,
         kind: MessageKind,
         entry: Option<EntryIndex>,
@@ -50,18 +50,18 @@
             if trigger.hits_side {
                 let index = side.unwrap_or(0);
                 let incarnation = self.sides[index].settings.incarnation;
-                let action = Action::HitSide(index, incarnation, trigger.fault);
+                let action = Action::FaultAtSide(index, incarnation, trigger.fault);
                 self.schedule.add(self.now, action);
             } else {
                 let index = entry.unwrap_or(0);
                 let incarnation = self.entries[index].incarnation();
-                let action = Action::HitEntry(index, incarnation, trigger.fault);
+                let action = Action::FaultAtEntry(index, incarnation, trigger.fault);
                 self.schedule.add(self.now, action);
             }
         }
     }
 
-    pub(super) fn hit_entry(
+    pub(super) fn apply_entry_fault(
         &mut self,
         index: EntryIndex,
         incarnation: Incarnation,
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn hit_side(
+    pub(super) fn apply_side_fault(
         &mut self,
         index: SideIndex,
         incarnation: Incarnation,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A lagging or wrong VM list: every entry reads that a VM is gone.
+    /// Reports to every entry that a VM is gone, as a delayed or wrong VM list does.
     pub fn report_vm_gone(&mut self, name: &str) {
         for entry in 0..self.entries.len() {
             let vm = name.into();
@@ -110,22 +110,22 @@
         }
     }
 
-    /// How many entries there are, dead ones included.
+    /// Returns the number of entries, including dead ones.
     pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// How many sides there are, dead ones included.
+    /// Returns the number of sides, including dead ones.
     pub fn side_count(&self) -> usize {
         self.sides.len()
     }
 
-    /// The run of an entry; it tells whether a request was sent to an earlier one.
+    /// Returns the incarnation of an entry. Tests compare it with the incarnation that a request was sent to.
     pub fn entry_incarnation(&self, entry: EntryIndex) -> Incarnation {
         self.entries[entry].incarnation()
     }
 
-    /// An entry's process dies, and its VM refuses connections.
+    /// Kills the process of an entry; its VM then refuses connections.
     pub fn kill_entry(&mut self, index: EntryIndex) {
         let id = self.entries[index].settings.me.id.clone();
         self.entries[index].core = None;
@@ -135,7 +135,7 @@
                 let dead = EntryEvent::PeerDead { peer: id.clone() };
                 let soon = self.now + self.delays.between_halls.as_micros() as u64;
                 self.at_entry(soon, other, lost);
-                self.at_entry(soon + NOTICE.as_micros() as u64, other, dead);
+                self.at_entry(soon + DEATH_NOTICE_DELAY.as_micros() as u64, other, dead);
             }
         }
         for side in 0..self.sides.len() {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A side's process dies; its target ends what it runs without telling anyone.
+    /// Kills the process of a side. Its target ends all runs without a report.
     pub fn kill_side(&mut self, index: SideIndex) {
         let side = &mut self.sides[index];
         side.core = None;
@@ -163,29 +163,30 @@
         }
     }
 
-    /// Pauses an entry for a while: what arrives waits.
+    /// Pauses an entry for the given time; events for it wait until it resumes.
     pub fn pause_entry(&mut self, index: EntryIndex, time: Duration) {
         self.entries[index].paused_until = self.now + time.as_micros() as u64;
     }
 
-    /// Pauses a side for a while; its target goes on.
+    /// Pauses a side for the given time; its target continues to run.
     pub fn pause_side(&mut self, index: SideIndex, time: Duration) {
         self.sides[index].paused_until = self.now + time.as_micros() as u64;
     }
 
-    /// Cuts two halls apart.
+    /// Partitions two halls from each other.
     pub fn partition(&mut self, a: &str, b: &str) {
-        self.cuts.insert((a.into(), b.into()));
-        self.cuts.insert((b.into(), a.into()));
-        self.cut_number += 1;
+        self.partitions.insert((a.into(), b.into()));
+        self.partitions.insert((b.into(), a.into()));
+        self.partition_number += 1;
     }
 
-    /// Joins two halls again: what waited arrives, and links that broke stand again.
+    /// Ends the partition between two halls: messages that waited are delivered, and broken links are made
+    /// again.
     pub fn heal(&mut self, a: &str, b: &str) {
-        self.cuts.remove(&(a.into(), b.into()));
-        self.cuts.remove(&(b.into(), a.into()));
-        self.cut_number += 1;
-        for (_, actions) in std::mem::take(&mut self.held) {
+        self.partitions.remove(&(a.into(), b.into()));
+        self.partitions.remove(&(b.into(), a.into()));
+        self.partition_number += 1;
+        for (_, actions) in std::mem::take(&mut self.held_messages) {
             for action in actions {
                 self.schedule.add(self.now, action);
             }
@@ -209,75 +210,76 @@
         }
     }
 
-    pub(super) fn name_of(&self, end: End) -> NodeName {
+    pub(super) fn name_of(&self, end: LinkEnd) -> NodeName {
         match end {
-            End::Entry(index) => self.entries[index].name().clone(),
-            End::Side(index) => self.sides[index].settings.side.clone(),
+            LinkEnd::Entry(index) => self.entries[index].name().clone(),
+            LinkEnd::Side(index) => self.sides[index].settings.side.clone(),
         }
     }
 
-    /// Holds a message back while its link is cut; the link breaks if that takes too long.
-    pub(super) fn hold(&mut self, from: End, to: End, action: Action) {
+    /// Holds a message back during a partition. The link breaks if the partition lasts too long.
+    pub(super) fn hold(&mut self, from: LinkEnd, to: LinkEnd, action: Action) {
         let link = (self.name_of(from), self.name_of(to));
         if self.broken.contains(&link) {
             return;
         }
-        let is_first = !self.held.contains_key(&link);
-        self.held.entry(link).or_default().push(action);
+        let is_first = !self.held_messages.contains_key(&link);
+        self.held_messages.entry(link).or_default().push(action);
         if is_first {
-            let cut_number = self.cut_number;
-            let at = self.now + CUT_LIMIT.as_micros() as u64;
-            let breaks = Action::BreakLink {
+            let partition_number = self.partition_number;
+            let at = self.now + PARTITION_TIMEOUT.as_micros() as u64;
+            let break_action = Action::BreakLink {
                 from,
                 to,
-                cut_number,
+                partition_number,
             };
-            self.schedule.add(at, breaks);
+            self.schedule.add(at, break_action);
         }
     }
 
-    /// Bytes into a cut were not acknowledged for too long: both ends see the link break.
-    pub(super) fn break_link(&mut self, from: End, to: End, cut_number: u64) {
+    /// Breaks a link at both ends, because bytes sent during a partition were not acknowledged in time.
+    pub(super) fn break_link(&mut self, from: LinkEnd, to: LinkEnd, partition_number: u64) {
         let link = (self.name_of(from), self.name_of(to));
-        let is_old = cut_number != self.cut_number;
+        let is_old = partition_number != self.partition_number;
         if is_old || !self.broken.insert(link.clone()) {
             return;
         }
-        self.held.remove(&link);
+        self.held_messages.remove(&link);
         match (from, to) {
-            (End::Entry(entry), End::Side(side)) | (End::Side(side), End::Entry(entry)) => {
+            (LinkEnd::Entry(entry), LinkEnd::Side(side))
+            | (LinkEnd::Side(side), LinkEnd::Entry(entry)) => {
                 self.break_side_link(entry, side);
             }
-            (End::Entry(a), End::Entry(b)) => {
+            (LinkEnd::Entry(a), LinkEnd::Entry(b)) => {
                 for (at, other) in [(a, b), (b, a)] {
                     let peer = self.entries[other].settings.me.id.clone();
                     self.at_entry(self.now, at, EntryEvent::PeerLost { peer });
                 }
             }
-            (End::Side(_), End::Side(_)) => {}
+            (LinkEnd::Side(_), LinkEnd::Side(_)) => {}
         }
     }
 
-    pub(super) fn is_cut(&self, a: &Hall, b: &Hall) -> bool {
-        self.cuts.contains(&(a.clone(), b.clone()))
+    pub(super) fn is_partitioned(&self, a: &Hall, b: &Hall) -> bool {
+        self.partitions.contains(&(a.clone(), b.clone()))
     }
 
-    /// Sets a target's speed, in percent of the usual time.
+    /// Sets the run time of tasks on a target, in percent of the usual time.
     pub fn set_target_slowdown(&mut self, side: SideIndex, percent: u64) {
         self.sides[side].slow_percent = percent;
     }
 
-    /// Makes a target refuse connections, or stop doing so.
+    /// Sets whether a target refuses connections.
     pub fn set_refusing(&mut self, side: SideIndex, is_refusing: bool) {
         self.sides[side].is_refusing = is_refusing;
     }
 
-    /// Makes a target lose its next answers.
+    /// Makes a target lose its next `count` answers.
     pub fn lose_target_answers(&mut self, side: SideIndex, count: u32) {
         self.sides[side].lose_answers = count;
     }
 
-    /// Moves an entry's wall clock ahead (or back).
+    /// Sets the offset of an entry's wall clock, in milliseconds; positive if the clock is ahead.
     pub fn set_clock_skew(&mut self, entry: EntryIndex, skew_ms: i64) {
         self.entries[entry].skew_ms = skew_ms;
     }
--- a/crates/mastknot_virtual/src/system/messages.rs
+++ b/crates/mastknot_virtual/src/system/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between processes, and what becomes of them.
+//! Delivers messages between processes and applies the faults of messages.
 
 use mastknot_core::entry::EntryEvent;
 use mastknot_core::message::{EntryMessage, PeerMessage, SideMessage};
@@ -10,7 +10,7 @@
 use crate::{MessageFault, MessageKind};
 
 impl VirtualSystem {
-    /// When a message sent now arrives, keeping the order of its link; none if it is cut off.
+    /// Returns the arrival time of a message that is sent now; messages of one link keep their order.
     pub(super) fn delivery(&mut self, from: (NodeName, Hall), to: (NodeName, Hall)) -> u64 {
         let delay = self.delays.between(&from.1, &to.1).as_micros() as u64;
         let latest = self.latest.entry((from.0, to.0)).or_default();
@@ -18,7 +18,8 @@
         *latest
     }
 
-    /// The times at which a message arrives, by the rules that are in force.
+    /// Returns the times at which a message arrives under the fault rules in force: none if it is lost, two
+    /// if it is duplicated.
     pub(super) fn arrivals(&mut self, kind: MessageKind, at: u64) -> Vec<u64> {
         let found = self
             .rules
@@ -38,13 +39,16 @@
     pub(super) fn send_to_side(&mut self, from: EntryIndex, to: SideIndex, message: EntryMessage) {
         let kind = MessageKind::from(&message);
         self.messages.record(kind);
-        self.fire(kind, Some(from), Some(to));
-        let (a, b) = (entry_end(&self.entries[from]), side_end(&self.sides[to]));
+        self.fire_triggers(kind, Some(from), Some(to));
+        let (a, b) = (
+            entry_name_and_hall(&self.entries[from]),
+            side_name_and_hall(&self.sides[to]),
+        );
         let entry = a.0.clone();
         if !self.sides[to].links.contains(&entry) {
             return;
         }
-        if self.is_cut(&a.1, &b.1) {
+        if self.is_partitioned(&a.1, &b.1) {
             let incarnation = self.sides[to].settings.incarnation;
             let event = Box::new(SideEvent::FromEntry { entry, message });
             let action = Action::ToSide {
@@ -52,7 +56,7 @@
                 incarnation,
                 event,
             };
-            return self.hold(End::Entry(from), End::Side(to), action);
+            return self.hold(LinkEnd::Entry(from), LinkEnd::Side(to), action);
         }
         let at = self.delivery(a, b);
         for at in self.arrivals(kind, at) {
@@ -65,11 +69,14 @@
     pub(super) fn send_to_entry(&mut self, from: SideIndex, to: EntryIndex, message: SideMessage) {
         let kind = MessageKind::from(&message);
         self.messages.record(kind);
-        self.fire(kind, Some(to), Some(from));
-        let (a, b) = (side_end(&self.sides[from]), entry_end(&self.entries[to]));
+        self.fire_triggers(kind, Some(to), Some(from));
+        let (a, b) = (
+            side_name_and_hall(&self.sides[from]),
+            entry_name_and_hall(&self.entries[to]),
+        );
         let side = a.0.clone();
         let incarnation = self.sides[from].settings.incarnation;
-        if self.is_cut(&a.1, &b.1) {
+        if self.is_partitioned(&a.1, &b.1) {
             let event = Box::new(EntryEvent::FromSide {
                 side,
                 incarnation,
@@ -80,7 +87,7 @@
                 incarnation: self.entries[to].incarnation(),
                 event,
             };
-            return self.hold(End::Side(from), End::Entry(to), action);
+            return self.hold(LinkEnd::Side(from), LinkEnd::Entry(to), action);
         }
         let at = self.delivery(a, b);
         for at in self.arrivals(kind, at) {
@@ -109,17 +116,20 @@
     pub(super) fn send_to_peer(&mut self, from: EntryIndex, to: EntryIndex, message: PeerMessage) {
         let kind = MessageKind::from(&message);
         self.messages.record(kind);
-        self.fire(kind, Some(to), None);
-        let (a, b) = (entry_end(&self.entries[from]), entry_end(&self.entries[to]));
+        self.fire_triggers(kind, Some(to), None);
+        let (a, b) = (
+            entry_name_and_hall(&self.entries[from]),
+            entry_name_and_hall(&self.entries[to]),
+        );
         let peer = self.entries[from].settings.me.id.clone();
-        if self.is_cut(&a.1, &b.1) {
+        if self.is_partitioned(&a.1, &b.1) {
             let event = Box::new(EntryEvent::FromPeer { peer, message });
             let action = Action::ToEntry {
                 entry: to,
                 incarnation: self.entries[to].incarnation(),
                 event,
             };
-            return self.hold(End::Entry(from), End::Entry(to), action);
+            return self.hold(LinkEnd::Entry(from), LinkEnd::Entry(to), action);
         }
         let at = self.delivery(a, b);
         for at in self.arrivals(kind, at) {
--- a/crates/mastknot_virtual/src/system/mod.rs
+++ b/crates/mastknot_virtual/src/system/mod.rs
@@ -1,4 +1,4 @@
-//! Entries and sides in virtual time.
+//! Simulation of entries and sides in virtual time.
 
 mod building;
 mod callers;
--- a/crates/mastknot_virtual/src/system/nodes.rs
+++ b/crates/mastknot_virtual/src/system/nodes.rs
@@ -5,25 +5,25 @@
 use mastknot_core::side::{SideCore, SideSettings};
 use mastknot_core::types::{Hall, Incarnation, NodeName, TaskId};
 
-/// Which entry.
+/// Index of an entry, in the order in which entries were added.
 pub type EntryIndex = usize;
-/// Which side.
+/// Index of a side, in the order in which sides were added.
 pub type SideIndex = usize;
 
-/// One entry process.
+/// Process of an entry.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) settings: EntrySettings,
-    /// None while the process is dead.
+    /// Decision core; `None` while the process is dead.
     pub(super) core: Option<EntryCore>,
-    /// Until when the process is paused.
+    /// Time until which the process is paused, in microseconds.
     pub(super) paused_until: u64,
-    /// When its next tick is planned.
+    /// Time of the next planned tick, in microseconds.
     pub(super) tick_at: Option<u64>,
-    /// How far its wall clock is ahead, in milliseconds.
+    /// Offset of the wall clock from the true time, in milliseconds; positive if the clock is ahead.
     pub(super) skew_ms: i64,
-    /// The configuration feed: the version that its watch has told.
-    pub(super) fed_version: u64,
+    /// Configuration version that the feed has last delivered.
+    pub(super) delivered_version: u64,
     pub(super) stopped: bool,
 }
 
@@ -41,25 +41,25 @@
     }
 }
 
-/// One side process with its target.
+/// Process of a side, with its target.
 #[derive(Clone, Debug)]
 pub(super) struct Side {
     pub(super) settings: SideSettings,
-    /// None while the process is dead.
+    /// Decision core; `None` while the process is dead.
     pub(super) core: Option<SideCore>,
     pub(super) paused_until: u64,
     pub(super) tick_at: Option<u64>,
-    /// Runs of the target that were not stopped, by task, with the task's bytes.
+    /// Current runs of the target by task, each with its number and the bytes of the task.
     pub(super) runs: HashMap<TaskId, (u64, Payload)>,
     pub(super) next_run: u64,
-    /// The time of a task on this target, in percent of what it asks for.
+    /// Run time of a task on this target, in percent of the time that the task asks for.
     pub(super) slow_percent: u64,
-    /// The target refuses every connection.
+    /// Whether the target refuses every connection.
     pub(super) is_refusing: bool,
-    /// The target's next answers are lost: this many.
+    /// Number of following answers of the target that are lost.
     pub(super) lose_answers: u32,
-    /// Since when it leaves.
+    /// Time at which the side began to leave, in microseconds.
     pub(super) leaving_since: Option<u64>,
-    /// The entries with a link to it.
+    /// Names of the entries that have a link to the side.
     pub(super) links: BTreeSet<NodeName>,
 }
--- a/crates/mastknot_virtual/src/system/schedule.rs
+++ b/crates/mastknot_virtual/src/system/schedule.rs
@@ -1,7 +1,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Actions in the order of their times; those of one time in the order they were added.
+/// Queue of actions ordered by time. Actions of the same time keep the order in which they were added.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule<A> {
     heap: BinaryHeap<Item<A>>,
@@ -54,7 +54,7 @@
 
 impl<A> Ord for Item<A> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives the greatest first, and the earliest is wanted.
+        // `BinaryHeap` returns the greatest item first, so the order is reversed to return the earliest.
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
--- a/crates/mastknot_virtual/src/system/sides.rs
+++ b/crates/mastknot_virtual/src/system/sides.rs
@@ -1,4 +1,4 @@
-//! Delivering to sides, carrying out what they want, and running targets.
+//! Delivers events to sides, carries out the effects that their cores return, and runs the targets.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::virtual_system::*;
 use crate::{MessageKind, Violation};
 
-/// A target that began to leave may still get what was on its way.
+/// Time during which a target that has begun to leave may still receive messages that were under way.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
 impl VirtualSystem {
@@ -54,7 +54,7 @@
         let version = core.config().version();
         let name = self.sides[index].settings.side.clone();
         self.audit.record_config(&name, version);
-        // A paused process can't begin to leave; it starts nothing meanwhile.
+        // A paused process cannot begin to leave, and it starts nothing while it is paused.
         if is_draining {
             let since = self.now;
             self.sides[index].leaving_since.get_or_insert(since);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The target starts a task: its bytes say for how many microseconds, and are its answer.
+    /// Starts a task at the target. The payload states its run time in microseconds and is also its answer.
     pub(super) fn run(&mut self, index: SideIndex, order: TaskOrder) {
         let task = order.task;
         let side = &mut self.sides[index];
@@ -120,7 +120,7 @@
         side.runs.insert(task, (run, order.payload));
         self.audit.record_start(task);
         let entry = self.entries.iter().position(|entry| entry.core.is_some());
-        self.fire(MessageKind::Run, entry, Some(index));
+        self.fire_triggers(MessageKind::Run, entry, Some(index));
         if is_late {
             self.audit.report(Violation::StartedWhileLeaving(name));
         }
--- a/crates/mastknot_virtual/src/system/virtual_system.rs
+++ b/crates/mastknot_virtual/src/system/virtual_system.rs
@@ -13,25 +13,25 @@
 use super::{Delays, EntryIndex, MessageCounts, SideIndex};
 use crate::{Audit, FaultRule, ProcessFault, Trigger, VirtualStore};
 
-/// The wall clock at the start, in milliseconds.
+/// Time of the wall clock at the start of the simulation, in milliseconds.
 const WALL_START: u64 = 1_800_000_000_000;
 
-/// A caller's request and its reply.
+/// Request of a caller with its reply.
 #[derive(Clone, Debug)]
 pub struct SubmittedRequest {
-    /// What was submitted.
+    /// Submission that the caller sent.
     pub submission: Submission,
-    /// When the caller sent it, in microseconds.
+    /// Time at which the caller sent the request, in microseconds.
     pub sent_at: u64,
-    /// The run of the entry that it reached.
+    /// Entry that the request reached, with the entry's incarnation; `None` before it arrives.
     pub sent_to: Option<(EntryIndex, Incarnation)>,
-    /// The reply with the time at which the caller had it.
+    /// Reply with the time at which it reached the caller, in microseconds.
     pub reply: Option<(u64, Reply)>,
 }
 
-/// One end of a link.
+/// Process at one end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum LinkEnd {
     Entry(EntryIndex),
     Side(SideIndex),
 }
@@ -65,27 +65,27 @@
         request: RequestId,
         reply: Box<Reply>,
     },
-    HitEntry(EntryIndex, Incarnation, ProcessFault),
-    HitSide(SideIndex, Incarnation, ProcessFault),
+    FaultAtEntry(EntryIndex, Incarnation, ProcessFault),
+    FaultAtSide(SideIndex, Incarnation, ProcessFault),
     BreakLink {
-        from: End,
-        to: End,
-        cut_number: u64,
+        from: LinkEnd,
+        to: LinkEnd,
+        partition_number: u64,
     },
     StartEntry(EntryIndex),
     StartSide(SideIndex),
 }
 
-/// Entries, sides, a store and callers in virtual time.
+/// Simulation of entries, sides, a store and callers in virtual time.
 #[derive(Debug)]
 pub struct VirtualSystem {
-    /// How long messages take.
+    /// Delivery times of messages.
     pub delays: Delays,
-    /// The fake store.
+    /// Fake store.
     pub store: VirtualStore,
-    /// The promises.
+    /// Audit of the guarantees.
     pub audit: Audit,
-    /// Messages between processes.
+    /// Number of messages between processes, by kind.
     pub messages: MessageCounts,
     pub(super) now: u64,
     pub(super) schedule: Schedule<Action>,
@@ -93,15 +93,16 @@
     pub(super) sides: Vec<Side>,
     pub(super) rules: Vec<FaultRule>,
     pub(super) triggers: Vec<Trigger>,
-    /// Pairs of halls without a connection.
-    pub(super) cuts: BTreeSet<(Hall, Hall)>,
-    /// Messages that wait in a cut, by link.
-    pub(super) held: BTreeMap<(NodeName, NodeName), Vec<Action>>,
-    /// Links that broke in a cut.
+    /// Pairs of halls that are partitioned from each other.
+    pub(super) partitions: BTreeSet<(Hall, Hall)>,
+    /// Messages that wait for the end of a partition, by link.
+    pub(super) held_messages: BTreeMap<(NodeName, NodeName), Vec<Action>>,
+    /// Links that broke because of a partition.
     pub(super) broken: BTreeSet<(NodeName, NodeName)>,
-    /// Counts cuts and healings, so that an old cut's limit breaks nothing.
-    pub(super) cut_number: u64,
-    /// The latest delivery of each link, which keeps its order.
+    /// Number of partitions and repairs so far. It prevents the timeout of an earlier partition from breaking
+    /// a link.
+    pub(super) partition_number: u64,
+    /// Latest delivery time of each link, which keeps the order of its messages.
     pub(super) latest: HashMap<(NodeName, NodeName), u64>,
     pub(super) requests: BTreeMap<RequestId, SubmittedRequest>,
     pub(super) next_request: RequestId,
@@ -111,7 +112,7 @@
 }
 
 impl VirtualSystem {
-    /// An empty system with a seed for jitter.
+    /// Creates an empty system; `seed` initializes the random numbers.
     pub fn new(delays: Delays, seed: u64) -> Self {
         Self {
             delays,
@@ -124,10 +125,10 @@
             sides: Vec::new(),
             rules: Vec::new(),
             triggers: Vec::new(),
-            cuts: BTreeSet::new(),
-            held: BTreeMap::new(),
+            partitions: BTreeSet::new(),
+            held_messages: BTreeMap::new(),
             broken: BTreeSet::new(),
-            cut_number: 0,
+            partition_number: 0,
             latest: HashMap::new(),
             requests: BTreeMap::new(),
             next_request: 1,
@@ -137,69 +138,70 @@
         }
     }
 
-    /// The time since the start, in microseconds.
+    /// Returns the time since the start, in microseconds.
     pub fn now(&self) -> u64 {
         self.now
     }
 
-    /// Events handled so far.
+    /// Returns the number of actions handled so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// All requests of callers with their replies.
+    /// Returns all requests of callers with their replies.
     pub fn requests(&self) -> impl Iterator<Item = &SubmittedRequest> {
         self.requests.values()
     }
 
-    /// A request with its reply.
+    /// Returns a request with its reply.
     pub fn request(&self, request: RequestId) -> &SubmittedRequest {
         &self.requests[&request]
     }
 
-    /// The wall clock at a later time.
+    /// Returns the wall-clock time at `at` microseconds since the start.
     pub fn wall_at(&self, at: u64) -> WallTime {
         WallTime::from_millis(WALL_START + at / 1_000)
     }
 
-    /// The reply to a request, if there is one yet.
+    /// Returns the reply to a request if it has arrived.
     pub fn reply(&self, request: RequestId) -> Option<&Reply> {
         let submitted = self.requests.get(&request)?;
         submitted.reply.as_ref().map(|(_, reply)| reply)
     }
 
-    /// A core, to look at; none while its process is dead.
+    /// Returns the core of an entry, or `None` while its process is dead.
     pub fn entry(&self, entry: EntryIndex) -> Option<&EntryCore> {
         self.entries[entry].core.as_ref()
     }
 
-    /// A core, to break it in tests of the tests.
+    /// Returns the core of an entry for changes, so that tests can verify that they detect a broken core.
     pub fn entry_mut(&mut self, entry: EntryIndex) -> Option<&mut EntryCore> {
         self.entries[entry].core.as_mut()
     }
 
-    /// A core, to look at; none while its process is dead.
+    /// Returns the core of a side, or `None` while its process is dead.
     pub fn side(&self, side: SideIndex) -> Option<&SideCore> {
         self.sides[side].core.as_ref()
     }
 
-    /// Whether an entry's planned stop has come to its end.
+    /// Returns whether the planned stop of an entry is complete.
     pub fn has_stopped(&self, entry: EntryIndex) -> bool {
         self.entries[entry].stopped
     }
 
-    // ---- time ----
+    // Progress of time.
 
-    /// Lets this much time pass.
+    /// Runs the simulation for the given time.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time.as_micros() as u64;
         while self.schedule.next_at().is_some_and(|at| at <= end) {
-            self.step_once();
+            self.perform_next_action();
         }
         self.now = end;
     }
 
-    /// Lets time pass until a condition holds or the limit is reached; says whether it holds.
+    /// Runs the simulation until a condition holds or the time limit is reached, and returns whether the
+    /// condition holds.
     pub fn run_until(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + limit.as_micros() as u64;
         while !holds(self) {
@@ -207,12 +209,12 @@
                 self.now = end;
                 return holds(self);
             }
-            self.step_once();
+            self.perform_next_action();
         }
         true
     }
 
-    fn step_once(&mut self) {
+    fn perform_next_action(&mut self) {
         let Some((at, action)) = self.schedule.pop() else {
             return;
         };
@@ -246,13 +248,13 @@
             Action::Feed(entry, incarnation) => self.feed(entry, incarnation),
             Action::Submit { entry, request } => self.submit_now(entry, request),
             Action::Reply { request, reply } => self.reply_arrives(request, *reply),
-            Action::HitEntry(entry, run, fault) => self.hit_entry(entry, run, fault),
-            Action::HitSide(side, run, fault) => self.hit_side(side, run, fault),
+            Action::FaultAtEntry(entry, run, fault) => self.apply_entry_fault(entry, run, fault),
+            Action::FaultAtSide(side, run, fault) => self.apply_side_fault(side, run, fault),
             Action::BreakLink {
                 from,
                 to,
-                cut_number,
-            } => self.break_link(from, to, cut_number),
+                partition_number,
+            } => self.break_link(from, to, partition_number),
             Action::StartEntry(entry) => self.start_entry(entry),
             Action::StartSide(side) => self.start_side(side),
         }
@@ -268,15 +270,16 @@
     }
 }
 
-pub(super) fn entry_end(entry: &Entry) -> (NodeName, Hall) {
+pub(super) fn entry_name_and_hall(entry: &Entry) -> (NodeName, Hall) {
     (entry.name().clone(), entry.hall().clone())
 }
 
-pub(super) fn side_end(side: &Side) -> (NodeName, Hall) {
+pub(super) fn side_name_and_hall(side: &Side) -> (NodeName, Hall) {
     (side.settings.side.clone(), side.settings.hall.clone())
 }
 
-/// The time that a task asks for: its bytes begin with a number of microseconds and a space.
+/// Returns the run time that a task asks for, in microseconds. Its payload begins with that number and a
+/// space.
 pub(super) fn run_micros(payload: &[u8]) -> u64 {
     let text = std::str::from_utf8(payload).unwrap_or_default();
     let number = text.split(' ').next().unwrap_or_default();
