--- a/crates/mastknot_client/src/client.rs
+++ b/crates/mastknot_client/src/client.rs
@@ -21,15 +21,15 @@
 #[derive(Clone, Debug)]
 pub struct Client {
     http: HttpClient,
-    limit: Duration,
+    timeout: Duration,
 }
 
 impl Client {
-    /// Creates a client that waits for an answer for at most `limit`.
-    pub fn new(limit: Duration) -> Self {
+    /// Creates a client that waits for an answer for at most `timeout`.
+    pub fn new(timeout: Duration) -> Self {
         Self {
             http: plain_client(CONNECT_TIMEOUT),
-            limit,
+            timeout,
         }
     }
 
@@ -77,7 +77,7 @@
         body: Option<&Value>,
     ) -> Result<Answer, ClientError> {
         let called = self.try_call(address, method, path, body);
-        match tokio::time::timeout(self.limit, called).await {
+        match tokio::time::timeout(self.timeout, called).await {
             Ok(answer) => answer,
             Err(_) => Err(ClientError::Timeout {
                 address: address.to_string(),
@@ -94,7 +94,7 @@
     ) -> Result<Answer, ClientError> {
         let response = self.send(address, method, path, body).await?;
         let status = response.status();
-        let bytes = read_body(response.into_body(), MAX_ANSWER_BYTES, self.limit).await;
+        let bytes = read_body(response.into_body(), MAX_ANSWER_BYTES, self.timeout).await;
         let address = address.to_string();
         let Ok(bytes) = bytes else {
             return Err(ClientError::CutShort { address });
--- a/crates/mastknot_runtime/src/clock/mod.rs
+++ b/crates/mastknot_runtime/src/clock/mod.rs
@@ -9,15 +9,15 @@
 
 pub use suspension::suspended_so_far;
 
-/// Shorter suspensions are taken as noise. A suspension is measured as the difference of two clocks, which are read
-/// one after the other, so that their readings differ by some microseconds at any time.
+/// Shortest measured suspension that is not treated as noise. A suspension is measured as the difference of two
+/// clocks, which are read one after the other, so that their readings differ by some microseconds at any time.
 const READING_NOISE: Duration = Duration::from_millis(1);
 
 /// The clocks of a process: tokio's clock, which tests can pause, and the time for which the VM was suspended.
 ///
 /// Timers belong to tokio and stop while the VM is suspended. Leases and deadlines are compared with moments of this
-/// clock, which include suspensions: after a
-/// suspension, the process finds that those that ended during it have expired.
+/// clock, which include suspensions. A process that resumes therefore finds expired every lease and deadline that
+/// ended during the suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/crates/mastknot_runtime/src/logs/bounded_stdout.rs
+++ b/crates/mastknot_runtime/src/logs/bounded_stdout.rs
@@ -10,16 +10,18 @@
 /// Time for which lines are collected before they are written together.
 const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Log lines that are not written yet, and the number of lines that were dropped.
 #[derive(Debug, Default)]
 struct PendingLines {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
+/// Buffer of log lines, shared with the thread that writes them.
 #[derive(Debug, Default)]
 struct Buffer {
     pending: Mutex<PendingLines>,
-    arrived: Condvar,
+    has_lines: Condvar,
 }
 
 impl Buffer {
@@ -27,6 +29,7 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Appends a line, or counts it as dropped if the buffer is full.
     fn push(&self, line: &[u8]) {
         let mut pending = self.lock();
         if pending.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
@@ -37,16 +40,17 @@
         pending.bytes.extend_from_slice(line);
         drop(pending);
         if was_empty {
-            self.arrived.notify_one();
+            self.has_lines.notify_one();
         }
     }
 
+    /// Waits until the buffer has lines.
     fn wait(&self) {
         let pending = self.lock();
-        let arrived = self
-            .arrived
+        let guard = self
+            .has_lines
             .wait_while(pending, |held| held.bytes.is_empty());
-        drop(arrived.unwrap_or_else(PoisonError::into_inner));
+        drop(guard.unwrap_or_else(PoisonError::into_inner));
     }
 
     /// Writes the buffered lines, followed by a line with the number of dropped lines if there are any.
--- a/crates/mastknot_runtime/src/metrics/loop_delay.rs
+++ b/crates/mastknot_runtime/src/metrics/loop_delay.rs
@@ -12,7 +12,7 @@
 /// Interval between two measurements. Ten wake-ups a second cost little compared with the heartbeats of an entry.
 const INTERVAL: Duration = Duration::from_millis(100);
 /// Delay above which a measurement is logged. Leases last only a third of a second, so longer delays endanger them.
-const NOTABLE: Duration = Duration::from_millis(100);
+const LOG_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Measures how late timers fire, which shows how long the event loop of the process is blocked by its own work, by
 /// lack of processor time, or because the whole process is paused.
@@ -52,12 +52,12 @@
             sleep(INTERVAL).await;
             let late = due.elapsed();
             self.seconds.observe(late.as_secs_f64());
-            if late > NOTABLE {
+            if late > LOG_THRESHOLD {
                 warn!(late_ms = late.as_millis() as u64; "event loop was blocked");
             }
             let suspended_now = suspended_so_far();
             let suspended_for = suspended_now.saturating_sub(suspended);
-            if suspended_for > NOTABLE {
+            if suspended_for > LOG_THRESHOLD {
                 self.suspensions.inc();
                 warn!(asleep_ms = suspended_for.as_millis() as u64; "resumed after a suspension of the VM");
             }
--- a/crates/mastknot_runtime/src/shared_store/directory_view.rs
+++ b/crates/mastknot_runtime/src/shared_store/directory_view.rs
@@ -102,6 +102,7 @@
         });
     }
 
+    /// Removes an entry. Shortly after a store outage, it is only marked as missing.
     fn remove(&mut self, now: Moment, name: &str) {
         let grace_ends = self.outage_ended_at.map(|ended_at| ended_at + RELIST_GRACE);
         match grace_ends.filter(|ends| *ends > now) {
--- a/crates/mastknot_runtime/src/shared_store/entry_directory.rs
+++ b/crates/mastknot_runtime/src/shared_store/entry_directory.rs
@@ -76,6 +76,7 @@
 }
 
 impl<S: SharedStore, V: Clone + PartialEq> Follower<'_, S, V> {
+    /// Lists the entries and follows their changes, again and again.
     async fn follow(mut self) {
         loop {
             let Ok(list) = self.store.list(&self.settings.prefix).await else {
@@ -96,6 +97,7 @@
         }
     }
 
+    /// Follows the changes after a revision until the next list is due.
     async fn follow_from(&mut self, mut after: u64) {
         // A watch without changes does not prove that nothing has changed, so the list is read again from time to time.
         let clock = &self.settings.clock;
@@ -155,6 +157,7 @@
         }
     }
 
+    /// Publishes the directory if it has changed.
     fn publish(&self) {
         let entries = self.view.entries();
         self.directory.send_if_modified(|held| {
--- a/crates/mastknot_runtime/src/shared_store/operator_feed.rs
+++ b/crates/mastknot_runtime/src/shared_store/operator_feed.rs
@@ -60,7 +60,7 @@
         known_revision: 0,
         is_list_due: true,
         is_shares_list_due: false,
-        is_up: true,
+        is_store_up: true,
     };
     while !feed.updates.is_closed() {
         let is_read = feed.read().await;
@@ -87,7 +87,7 @@
     is_list_due: bool,
     /// Whether the shares of halls have to be listed, because a check has found a change.
     is_shares_list_due: bool,
-    is_up: bool,
+    is_store_up: bool,
     pause: Duration,
 }
 
@@ -103,13 +103,13 @@
         reason = "the log reports how long a call took"
     )]
     async fn read(&mut self) -> bool {
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let known = self.known_revisions();
         let result = match self.is_list_due {
             true => self.list_drained_and_check(&known).await,
             false => self.store.check(&known).await,
         };
-        let took_ms = asked.elapsed().as_millis() as u64;
+        let took_ms = started_at.elapsed().as_millis() as u64;
         self.log_store_availability(took_ms, result.as_ref().err());
         let Ok(check) = result else {
             return false;
@@ -219,11 +219,11 @@
         if self.known_revision == 0 {
             return false;
         }
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let prefix = self.settings.prefix.clone();
         let wait = self.settings.watch_wait;
         let result = self.store.watch(&prefix, self.known_revision, wait).await;
-        let took_ms = asked.elapsed().as_millis() as u64;
+        let took_ms = started_at.elapsed().as_millis() as u64;
         match result {
             Ok(changes) => {
                 self.known_revision = self.known_revision.max(changes.revision);
@@ -305,12 +305,12 @@
 
     /// Logs when the store becomes unreachable and when it answers again.
     fn log_store_availability(&mut self, took_ms: u64, error: Option<&SharedStoreError>) {
-        match (error, self.is_up) {
+        match (error, self.is_store_up) {
             (Some(error), true) => warn!(dependency = "store", took_ms, error:%; "lost"),
             (None, false) => info!(dependency = "store", took_ms; "regained"),
             _ => {}
         }
-        self.is_up = error.is_none();
+        self.is_store_up = error.is_none();
     }
 }
 
--- a/crates/mastknot_runtime/src/shared_store/own_listing.rs
+++ b/crates/mastknot_runtime/src/shared_store/own_listing.rs
@@ -111,6 +111,7 @@
     (!is_own).then_some(revision)
 }
 
+/// Requests a lease and writes the own key under it.
 async fn write_listing<S: SharedStore, V>(
     store: &S,
     settings: &DirectorySettings<V>,
@@ -132,6 +133,7 @@
     }
 }
 
+/// Renews a lease after each third of its time. Returns when the lease has expired.
 async fn renew_while_valid<S: SharedStore, V>(
     store: &S,
     settings: &DirectorySettings<V>,
--- a/crates/mastknot_runtime/src/shared_store/profile_keeper.rs
+++ b/crates/mastknot_runtime/src/shared_store/profile_keeper.rs
@@ -60,6 +60,7 @@
 }
 
 impl<S: PersistentStore, H: ProfileHolder> Keeper<S, H> {
+    /// Reads the stored profile, or writes the own one, if one of these is due.
     async fn sync(&mut self) {
         let offer = match self.ledger.must_read() {
             true => None,
@@ -114,13 +115,14 @@
             }
             Err(error) => {
                 warn!(bytes, error:%; "the learned profile may not have been written");
-                self.without_result(&error)
+                self.record_failed_write(&error)
             }
         };
         self.ledger.record_write(now, write);
     }
 
-    fn without_result(&self, error: &SharedStoreError) -> ProfileWrite {
+    /// Records a write whose result is unknown or that the store refused.
+    fn record_failed_write(&self, error: &SharedStoreError) -> ProfileWrite {
         let (cause, write) = match error {
             SharedStoreError::TurnedAway { .. } => ("turned_away", ProfileWrite::TurnedAway),
             _ => ("unanswered", ProfileWrite::Unanswered),
--- a/crates/mastknot_runtime/src/store/store_client.rs
+++ b/crates/mastknot_runtime/src/store/store_client.rs
@@ -45,17 +45,17 @@
 pub struct StoreClient {
     http: HttpClient,
     base: String,
-    limit: Duration,
+    timeout: Duration,
     calls: Arc<StoreCalls>,
 }
 
 impl StoreClient {
-    /// Creates a client of the store at `address`. A call waits for its answer for at most `limit`.
-    pub fn new(address: SocketAddr, limit: Duration) -> Self {
+    /// Creates a client of the store at `address`. A call waits for its answer for at most `timeout`.
+    pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             http: plain_client(CONNECT_TIMEOUT),
             base: format!("http://{address}"),
-            limit,
+            timeout,
             calls: Arc::default(),
         }
     }
@@ -147,7 +147,7 @@
         body: &Value,
     ) -> Result<T, StoreError> {
         let response = self.send(reason, path, body).await?;
-        let bytes = read_body(response.into_body(), MAX_ANSWER_BYTES, self.limit).await;
+        let bytes = read_body(response.into_body(), MAX_ANSWER_BYTES, self.timeout).await;
         let bytes = bytes.map_err(|_| {
             self.calls.record_failed();
             StoreError::CutShort
@@ -177,7 +177,7 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(bytes))
             .expect("the parts of the request are valid");
-        let sent = tokio::time::timeout(self.limit, self.http.request(request)).await;
+        let sent = tokio::time::timeout(self.timeout, self.http.request(request)).await;
         let Ok(response) = sent else {
             return TimeoutSnafu.fail();
         };
--- a/crates/mastknot_wire/src/frame/wire_message.rs
+++ b/crates/mastknot_wire/src/frame/wire_message.rs
@@ -12,19 +12,19 @@
 
 impl WireMessage for EntryMessage {
     fn kind(&self) -> MessageKind {
-        work_if(matches!(self, Self::Start { .. }))
+        work_or_control(matches!(self, Self::Start { .. }))
     }
 }
 
 impl WireMessage for SideMessage {
     fn kind(&self) -> MessageKind {
-        work_if(matches!(self, Self::Answer { .. }))
+        work_or_control(matches!(self, Self::Answer { .. }))
     }
 }
 
 impl WireMessage for PeerMessage {
     fn kind(&self) -> MessageKind {
-        work_if(matches!(
+        work_or_control(matches!(
             self,
             Self::Forward { .. } | Self::Fetch { .. } | Self::Replied { .. }
         ))
@@ -51,7 +51,7 @@
     }
 }
 
-fn work_if(is_work: bool) -> MessageKind {
+fn work_or_control(is_work: bool) -> MessageKind {
     match is_work {
         true => MessageKind::Work,
         false => MessageKind::Control,
--- a/crates/mastknot_wire/src/link/link_sender.rs
+++ b/crates/mastknot_wire/src/link/link_sender.rs
@@ -94,7 +94,7 @@
     async fn write_all(&mut self) -> Result<(), LinkError> {
         let mut buffer = BytesMut::new();
         while let Some(first) = self.messages.recv().await {
-            let count = self.fill(first, &mut buffer)?;
+            let count = self.fill_batch(first, &mut buffer)?;
             self.write(buffer.split().freeze()).await?;
             self.queued.fetch_sub(count, Ordering::Relaxed);
         }
@@ -102,7 +102,7 @@
     }
 
     /// Encodes `first` and the messages queued behind it, until the batch is full; returns the number of messages.
-    fn fill(&mut self, first: S, buffer: &mut BytesMut) -> Result<usize, LinkError> {
+    fn fill_batch(&mut self, first: S, buffer: &mut BytesMut) -> Result<usize, LinkError> {
         let mut count = 1;
         self.encode(&first, buffer)?;
         while buffer.len() < BATCH_BYTES {
--- a/crates/mastknot_wire/src/link/listen.rs
+++ b/crates/mastknot_wire/src/link/listen.rs
@@ -53,6 +53,7 @@
     })
 }
 
+/// Performs the h2 handshake and waits for the first stream.
 async fn open(stream: TcpStream) -> Result<Opened, LinkError> {
     let mut builder = h2::server::Builder::new();
     builder
@@ -88,6 +89,7 @@
     })
 }
 
+/// Answers a request for an unknown path with status 404.
 fn reject(mut respond: h2::server::SendResponse<Bytes>) -> Result<(), LinkError> {
     let mut response = Response::new(());
     *response.status_mut() = StatusCode::NOT_FOUND;
