--- a/crates/mastknot_virtual/tests/granted_speeds.rs
+++ b/crates/mastknot_virtual/tests/granted_speeds.rs
@@ -1,22 +1,22 @@
-//! Targets that differ in speed, where room is granted.
+//! Guards against placing long tasks on slow targets while fast ones have capacity, where capacity is granted.
 //!
-//! What callers saw: on days with room free all the time one in ten jobs of the longest kind came late, where without grants
-//! one in thirty did. What happened: long tasks went to slow targets while fast ones had room, some of it granted to the very
-//! entry that placed them. The cause: a target was rated by the room that an entry might start there; what was granted to
-//! others or shown to nobody counted as used. The evidence: of the placements of long tasks one in five went to slow
-//! targets, one in a hundred without grants; at nine in ten of them a fast target had room for the entry.
+//! With capacity free all the time, one in ten jobs of the longest kind came late, and one in thirty without grants.
+//! Targets were rated by the capacity that an entry could use there, and capacity that was granted to other entries or
+//! withheld counted as used. One in five placements of long tasks went to slow targets, and one in a hundred without
+//! grants; at nine in ten of them a fast target had capacity for the entry, in part granted to that entry itself.
 
 mod load;
 
 use std::time::Duration;
 
-use load::{DRAINED, Fleet, Play, SETTLED};
+use load::{DRAINED, Fleet, SETTLED, Simulation};
 
+/// Speeds of the targets in turn, in percent.
 const SPEEDS: &[u64] = &[70, 70, 170];
 const LOADED: Duration = Duration::from_secs(5);
-/// Paces are learned from here on.
-const BEGUN: Duration = Duration::from_millis(500);
-/// The aim for each kind where room is free.
+/// Time from which jobs are submitted, so that entries learn the slowdowns of the targets.
+const FIRST_JOB_AT: Duration = Duration::from_millis(500);
+/// Required share of jobs in time for each kind while capacity is free.
 const IN_TIME: f64 = 0.985;
 
 #[test]
@@ -25,17 +25,18 @@
         .into_iter()
         .flat_map(|times| [1, 2, 3].map(|seed| (times, seed)))
     {
-        let mut play = Play::new(Fleet {
+        let mut simulation = Simulation::new(Fleet {
             entries: 8,
             sides: 53,
             speeds: SPEEDS,
             seed,
         });
         let until = SETTLED + LOADED;
-        play.submit(BEGUN, until, times, |_| 1.0);
-        play.run(until);
-        play.system.run_until(until + DRAINED);
-        let kinds = [0, 1, 2].map(|kind| play.in_time(|job| job.kind == kind && job.at >= SETTLED));
+        simulation.submit(FIRST_JOB_AT, until, times, |_| 1.0);
+        simulation.run(until);
+        simulation.system.run_until(until + DRAINED);
+        let kinds =
+            [0, 1, 2].map(|kind| simulation.in_time(|job| job.kind == kind && job.at >= SETTLED));
         let is_good = kinds.iter().all(|share| *share >= IN_TIME);
         assert!(is_good, "{times} times, seed {seed}: {kinds:.3?}");
     }
--- a/crates/mastknot_virtual/tests/room_grants.rs
+++ b/crates/mastknot_virtual/tests/room_grants.rs
@@ -1,149 +1,163 @@
-//! Room that is short belongs to one entry at a time: few starts are turned away, nothing stands empty for it, and it
-//! costs no message more.
+//! Scarce capacity is granted to one entry at a time: few starts are rejected, no capacity stays free for the grants,
+//! and they cost no further messages.
 
 mod load;
 
 use std::time::Duration;
 
-use load::{DRAINED, Fleet, LARGE, MIDDLE, Play, SETTLED};
+use load::{DRAINED, Fleet, LARGE, MIDDLE, SETTLED, Simulation};
 use mastknot_core::job::JobAnswer;
 use mastknot_core::scheduler::ScarcitySettings;
 use mastknot_virtual::{Direction, JobFault, JobFaultPlan};
 
+/// Duration of the load.
 const LOADED: Duration = Duration::from_secs(3);
-/// Of 100 starts fewer than this are turned away.
-const TURNED_AWAY: f64 = 1.0;
-/// The most urgent jobs are in time in this part at least, as long as they alone fit.
+/// Percentage of starts below which the number of rejected starts must stay.
+const REJECTED_LIMIT: f64 = 1.0;
+/// Required share of the most urgent jobs in time, as long as the targets can run these jobs alone.
 const URGENT_IN_TIME: f64 = 0.98;
-/// Both ways take in the same jobs; what stands empty differs by chance by less than this part.
-const EMPTY_BY_CHANCE: f64 = 0.005;
-/// The same for messages, in the mean of plays that differ by seed.
-const MESSAGES_BY_CHANCE: f64 = 0.01;
-/// So many of them; in a large fleet one evens out what is left to chance.
-const PLAYS: u64 = 3;
-
-/// What a fleet under steady load showed.
+/// Tolerance for random differences in the share of free capacity. The loads with and without grants accept the same
+/// jobs.
+const FREE_TOLERANCE: f64 = 0.005;
+/// Tolerance for random differences in the number of messages, in the mean of runs with different seeds.
+const MESSAGE_TOLERANCE: f64 = 0.01;
+/// Number of runs with different seeds; in a large fleet one run suffices to average out random differences.
+const RUNS: u64 = 3;
+
+/// Measurements of a fleet under steady load.
 #[derive(Clone, Copy, Debug)]
-struct Shown {
-    turned_away: f64,
+struct Measured {
+    /// Percentage of rejected starts.
+    rejected: f64,
+    /// Mean share of free capacity.
     empty: f64,
+    /// Messages per successful run.
     messages: f64,
+    /// Share of the most urgent jobs in time.
     urgent_in_time: f64,
-    /// The part of the jobs that began and found no room for the rest in time.
+    /// Share of the jobs that started and found no capacity for their other tasks in time.
     given_up: f64,
 }
 
-fn load(fleet: Fleet, times: f64, grants: bool) -> Shown {
+fn load(fleet: Fleet, times: f64, grants: bool) -> Measured {
     let scarcity = ScarcitySettings {
         grants,
         ..ScarcitySettings::default()
     };
-    let mut play = Play::with_scarcity(fleet, scarcity);
+    let mut simulation = Simulation::with_scarcity(fleet, scarcity);
     let until = SETTLED + LOADED;
-    play.submit(SETTLED, until, times, |_| 1.0);
-    play.run(SETTLED);
-    let empty = play.run(until);
-    let messages = play.messages_per_run(SETTLED, until);
-    play.system.run_until(until + DRAINED);
-    assert_eq!(play.system.violations(), [], "{times} times the usual load");
-    assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
-    let (entries, summary) = (fleet.entries, play.summary());
+    simulation.submit(SETTLED, until, times, |_| 1.0);
+    simulation.run(SETTLED);
+    let empty = simulation.run(until);
+    let messages = simulation.messages_per_run(SETTLED, until);
+    simulation.system.run_until(until + DRAINED);
+    assert_eq!(
+        simulation.system.violations(),
+        [],
+        "{times} times the usual load"
+    );
+    assert_eq!(simulation.system.held_jobs_and_runs(), (0, 0));
+    let (entries, summary) = (fleet.entries, simulation.summary());
     println!(
         "{entries} entries, {times}, grants {grants}: {summary}, {messages:.2} messages a run, {empty:.3} empty"
     );
-    Shown {
-        turned_away: play.turned_away(),
+    Measured {
+        rejected: simulation.turned_away(),
         empty,
         messages,
-        urgent_in_time: play.in_time(|job| job.kind == 0),
-        given_up: play.answered(|answer| *answer == JobAnswer::TimedOut),
+        urgent_in_time: simulation.in_time(|job| job.kind == 0),
+        given_up: simulation.answered(|answer| *answer == JobAnswer::TimedOut),
     }
 }
 
-fn check_against_guesses(fleet: Fleet, times: f64, plays: u64) {
+/// Compares loads with grants to loads without grants.
+fn check_against_ungranted(fleet: Fleet, times: f64, runs: u64) {
     let mut messages = 0.0;
-    let mut shown_messages = 0.0;
-    for seed in 1..=plays {
+    let mut measured_messages = 0.0;
+    for seed in 1..=runs {
         let fleet = Fleet { seed, ..fleet };
         let before = load(fleet, times, false);
-        let shown = load(fleet, times, true);
-        check_play(times, &before, &shown);
+        let measured = load(fleet, times, true);
+        check_simulation(times, &before, &measured);
         messages += before.messages;
-        shown_messages += shown.messages;
+        measured_messages += measured.messages;
     }
-    let most = messages * (1.0 + MESSAGES_BY_CHANCE);
+    let most = messages * (1.0 + MESSAGE_TOLERANCE);
     assert!(
-        shown_messages <= most,
-        "{times}: {shown_messages} messages in {plays} plays after {messages}"
+        measured_messages <= most,
+        "{times}: {measured_messages} messages in {runs} runs after {messages}"
     );
 }
 
-fn check_play(times: f64, before: &Shown, shown: &Shown) {
-    assert!(shown.turned_away < TURNED_AWAY, "{times}: {shown:?}");
+fn check_simulation(times: f64, before: &Measured, measured: &Measured) {
+    assert!(measured.rejected < REJECTED_LIMIT, "{times}: {measured:?}");
     assert!(
-        shown.empty <= before.empty + EMPTY_BY_CHANCE,
-        "{times}: {shown:?} after {before:?}"
+        measured.empty <= before.empty + FREE_TOLERANCE,
+        "{times}: {measured:?} after {before:?}"
     );
-    assert_eq!(shown.given_up, 0.0, "{times}: {shown:?}");
+    assert_eq!(measured.given_up, 0.0, "{times}: {measured:?}");
 }
 
 fn check_urgent(fleet: Fleet, times: f64) {
-    let shown = load(fleet, times, true);
-    assert!(shown.urgent_in_time >= URGENT_IN_TIME, "{times}: {shown:?}");
+    let measured = load(fleet, times, true);
+    assert!(
+        measured.urgent_in_time >= URGENT_IN_TIME,
+        "{times}: {measured:?}"
+    );
 }
 
 #[test]
-fn few_starts_are_turned_away_where_all_fits() {
-    check_against_guesses(MIDDLE, 1.3, PLAYS);
-    check_against_guesses(MIDDLE, 1.6, PLAYS);
+fn few_starts_are_rejected_where_all_jobs_fit() {
+    check_against_ungranted(MIDDLE, 1.3, RUNS);
+    check_against_ungranted(MIDDLE, 1.6, RUNS);
 }
 
 #[test]
-fn few_starts_are_turned_away_where_not_all_fits() {
-    check_against_guesses(MIDDLE, 2.2, PLAYS);
-    check_against_guesses(MIDDLE, 3.0, PLAYS);
+fn few_starts_are_rejected_where_not_all_jobs_fit() {
+    check_against_ungranted(MIDDLE, 2.2, RUNS);
+    check_against_ungranted(MIDDLE, 3.0, RUNS);
 }
 
 #[test]
-fn few_starts_are_turned_away_in_a_large_fleet() {
-    check_against_guesses(LARGE, 1.3, 1);
-    check_against_guesses(LARGE, 1.6, 1);
+fn few_starts_are_rejected_with_55_entries() {
+    check_against_ungranted(LARGE, 1.3, 1);
+    check_against_ungranted(LARGE, 1.6, 1);
 }
 
 #[test]
-fn few_starts_are_turned_away_in_a_large_fleet_where_not_all_fits() {
-    check_against_guesses(LARGE, 2.2, 1);
-    check_against_guesses(LARGE, 3.0, 1);
+fn few_starts_are_rejected_with_55_entries_where_not_all_jobs_fit() {
+    check_against_ungranted(LARGE, 2.2, 1);
+    check_against_ungranted(LARGE, 3.0, 1);
 }
 
 #[test]
-fn the_most_urgent_jobs_are_in_time_whatever_else_comes() {
+fn the_most_urgent_jobs_are_in_time_at_any_load() {
     for times in [1.3, 1.6, 2.2, 3.0] {
         check_urgent(MIDDLE, times);
     }
 }
 
 #[test]
-fn the_most_urgent_jobs_of_a_large_fleet_are_in_time_whatever_else_comes() {
+fn the_most_urgent_jobs_of_55_entries_are_in_time_at_any_load() {
     for times in [2.2, 3.0] {
         check_urgent(LARGE, times);
     }
 }
 
 #[test]
-fn entries_that_are_killed_frozen_or_cut_off_leave_nothing_behind() {
-    let mut play = Play::new(MIDDLE);
+fn entries_that_are_killed_paused_or_partitioned_leave_nothing_behind() {
+    let mut simulation = Simulation::new(MIDDLE);
     let until = SETTLED + LOADED;
-    play.submit(SETTLED, until, 2.2, |_| 1.0);
+    simulation.submit(SETTLED, until, 2.2, |_| 1.0);
     let at = SETTLED + Duration::from_millis(500);
     let time = Duration::from_millis(700);
     let kill = JobFault::KillEntry {
         entry: 0,
         down: time,
     };
-    play.system.plan(JobFaultPlan { at, fault: kill });
-    let freeze = JobFault::PauseEntry { entry: 1, time };
-    play.system.plan(JobFaultPlan { at, fault: freeze });
+    simulation.system.plan(JobFaultPlan { at, fault: kill });
+    let pause = JobFault::PauseEntry { entry: 1, time };
+    simulation.system.plan(JobFaultPlan { at, fault: pause });
     for side in 0..MIDDLE.sides {
         let fault = JobFault::PartitionLink {
             entry: 2,
@@ -151,24 +165,24 @@
             direction: Direction::Both,
             time,
         };
-        play.system.plan(JobFaultPlan { at, fault });
+        simulation.system.plan(JobFaultPlan { at, fault });
     }
-    play.run(until);
-    play.system.run_until(until + DRAINED);
-    assert_eq!(play.system.violations(), []);
-    assert_eq!(play.system.held_jobs_and_runs(), (0, 0));
-    println!("three entries lost: {}", play.summary());
+    simulation.run(until);
+    simulation.system.run_until(until + DRAINED);
+    assert_eq!(simulation.system.violations(), []);
+    assert_eq!(simulation.system.held_jobs_and_runs(), (0, 0));
+    println!("three entries lost: {}", simulation.summary());
 }
 
-/// A broken way: a side tells a second entry of a grant that is the first one's.
+/// Checks that the test detects a faulty variant, in which a side sends one entry's grant to a second entry as well.
 #[test]
-fn a_grant_that_is_told_to_two_entries_is_seen() {
-    let mut play = Play::new(MIDDLE);
-    play.system.duplicate_grants();
+fn a_grant_that_is_sent_to_two_entries_is_detected() {
+    let mut simulation = Simulation::new(MIDDLE);
+    simulation.system.duplicate_grants();
     let until = SETTLED + LOADED;
-    play.submit(SETTLED, until, 1.6, |_| 1.0);
-    play.run(until);
-    play.system.run_until(until + DRAINED);
-    let away = play.turned_away();
-    assert!(away >= TURNED_AWAY, "{away} of 100 starts were turned away");
+    simulation.submit(SETTLED, until, 1.6, |_| 1.0);
+    simulation.run(until);
+    simulation.system.run_until(until + DRAINED);
+    let away = simulation.turned_away();
+    assert!(away >= REJECTED_LIMIT, "{away} of 100 starts were rejected");
 }
