--- a/crates/mastknot_virtual/tests/broken_variants.rs
+++ b/crates/mastknot_virtual/tests/broken_variants.rs
@@ -1,4 +1,4 @@
-//! Tests of the tests: with a protection switched off, the audit must notice.
+//! Checks that the audit detects violations: each test switches off one protection and expects a violation.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use mastknot_core::entry::DisabledCheck;
 use mastknot_virtual::{Violation, VirtualSystem};
 
-/// Submits a job to entry 0, loses its holder, entry 1, and submits it again.
-fn resubmit_after_a_loss(system: &mut VirtualSystem) {
+/// Submits a job to entry 1, which owns its key, kills that entry and submits the job again to entry 0.
+fn resubmit_after_owner_loss(system: &mut VirtualSystem) {
     let key = key_held_by(system, 1);
     system.submit(1, job(key, 3, 100));
     system.run_for(Duration::from_secs(1));
@@ -26,35 +26,35 @@
 }
 
 #[test]
-fn a_holder_that_ignores_earlier_holders_is_caught() {
-    let mut sound = system(2, 2, 4, 3);
-    resubmit_after_a_loss(&mut sound);
-    assert!(!has_started_twice(&sound));
+fn an_owner_that_ignores_earlier_owners_is_detected() {
+    let mut correct = system(2, 2, 4, 3);
+    resubmit_after_owner_loss(&mut correct);
+    assert!(!has_started_twice(&correct));
 
     let mut broken = system(2, 2, 4, 3);
     let entry = broken.entry_mut(0).unwrap();
     entry.disable_check(DisabledCheck::EarlierOwners);
-    resubmit_after_a_loss(&mut broken);
+    resubmit_after_owner_loss(&mut broken);
     assert!(has_started_twice(&broken));
 }
 
 #[test]
-fn a_forgotten_ledger_is_caught() {
+fn a_disabled_resubmission_check_is_detected() {
     let mut broken = system(1, 2, 4, 4);
     let entry = broken.entry_mut(0).unwrap();
     entry.disable_check(DisabledCheck::Resubmission);
     let key = broken.new_key();
     broken.submit(0, job(key, 3, 100));
     broken.run_for(Duration::from_secs(1));
-    // The side that ran a task would drop a second start of it: it must go to the other one.
+    // The side that ran a task drops a second start of it. With that side gone, the task starts on the other one.
     broken.kill_side(0);
     broken.submit(0, job(key, 3, 100));
     broken.run_for(Duration::from_secs(2));
     assert!(has_started_twice(&broken));
 }
 
-/// Two operators write at once, and the first one's answer is lost after the second's write took
-/// effect. Says what the first is told.
+/// Plays two operators that write at once, where the first one's answer is lost and the second one's write takes
+/// effect. Returns the outcome that the first operator sees.
 fn lost_answer_behind_another_write(first_nonce: &str, second_nonce: &str) -> WriteStep {
     let mut ours = ConfigWrite::new(4, Some("base".into()), first_nonce, Some(1.into()));
     let theirs = ConfigWrite::new(4, Some("base".into()), second_nonce, Some(2.into()));
@@ -69,27 +69,27 @@
 }
 
 #[test]
-fn writes_without_a_nonce_of_their_own_are_caught() {
-    let sound = lost_answer_behind_another_write("ours", "theirs");
-    assert!(matches!(sound, WriteStep::Conflict(_)), "{sound:?}");
+fn writes_without_unique_nonces_are_detected() {
+    let correct = lost_answer_behind_another_write("ours", "theirs");
+    assert!(matches!(correct, WriteStep::Conflict(_)), "{correct:?}");
 
     let broken = lost_answer_behind_another_write("same", "same");
     assert_eq!(
         broken,
         WriteStep::Accepted(5),
-        "and yet the store holds the other's value"
+        "the write is reported as accepted although the store holds the other operator's value"
     );
 }
 
 #[test]
-fn the_sound_system_answers_what_the_broken_ones_run_twice() {
-    let mut sound = system(1, 2, 4, 4);
-    let key = sound.new_key();
-    let first = sound.submit(0, job(key, 3, 100));
-    sound.run_for(Duration::from_secs(1));
-    let second = sound.submit(0, job(key, 3, 100));
-    sound.run_for(Duration::from_secs(2));
-    assert!(is_complete(sound.reply(first)));
-    assert_eq!(sound.reply(first), sound.reply(second));
-    assert_eq!(sound.audit.total_starts(), 3);
+fn the_correct_system_answers_a_resubmission_without_a_second_run() {
+    let mut correct = system(1, 2, 4, 4);
+    let key = correct.new_key();
+    let first = correct.submit(0, job(key, 3, 100));
+    correct.run_for(Duration::from_secs(1));
+    let second = correct.submit(0, job(key, 3, 100));
+    correct.run_for(Duration::from_secs(2));
+    assert!(is_complete(correct.reply(first)));
+    assert_eq!(correct.reply(first), correct.reply(second));
+    assert_eq!(correct.audit.total_starts(), 3);
 }
--- a/crates/mastknot_virtual/tests/clock_of_another_life.rs
+++ b/crates/mastknot_virtual/tests/clock_of_another_life.rs
@@ -1,4 +1,7 @@
-//! A side that has started anew reads the clock of a target that has not reported to it yet, and the next life reports first.
+//! Guards against holds that are set by the clock of a target's earlier incarnation.
+//!
+//! A restarted side reads the clock of a target that has not reported to it yet. The target then restarts, and its
+//! next incarnation reports first, so that the clock that was read belongs to another incarnation.
 
 use std::time::Duration;
 
@@ -18,7 +21,7 @@
     JobFaultPlan { at, fault }
 }
 
-fn play(seed: u64, keeps_names: bool) -> JobSystem {
+fn play(seed: u64, keep_names: bool) -> JobSystem {
     let mut system = JobSystem::new(JobSystemSettings {
         entries: 1,
         sides: 2,
@@ -27,7 +30,7 @@
         active_links: None,
         seed,
     });
-    if keeps_names {
+    if keep_names {
         system.keep_target_names();
     }
     let (side, down, time) = (0, millis(700), millis(1_200));
@@ -46,20 +49,25 @@
     system
 }
 
-fn ran_twice(system: &JobSystem) -> usize {
+fn count_concurrent_runs(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
-    twice.count()
+    let concurrent =
+        violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
+    concurrent.count()
 }
 
 #[test]
-fn lives_that_say_when_they_began_are_not_held_by_the_clock_of_another() {
-    let counts: Vec<usize> = (0..10).map(|seed| ran_twice(&play(seed, true))).collect();
+fn incarnations_with_start_times_are_not_held_by_the_clock_of_another_incarnation() {
+    let counts: Vec<usize> = (0..10)
+        .map(|seed| count_concurrent_runs(&play(seed, true)))
+        .collect();
     assert_eq!(counts, [0; 10]);
 }
 
 #[test]
 fn a_life_that_reports_first_is_not_held_by_the_clock_of_the_one_before() {
-    let counts: Vec<usize> = (0..10).map(|seed| ran_twice(&play(seed, false))).collect();
+    let counts: Vec<usize> = (0..10)
+        .map(|seed| count_concurrent_runs(&play(seed, false)))
+        .collect();
     assert_eq!(counts, [0; 10]);
 }
--- a/crates/mastknot_virtual/tests/cold_targets.rs
+++ b/crates/mastknot_virtual/tests/cold_targets.rs
@@ -1,22 +1,23 @@
-//! A hall comes back with targets that are slow for a while, and say so.
+//! A hall returns with targets that are slow at first and report that they are cold.
 
 use std::time::Duration;
 
 use mastknot_core::job::{JobAnswer, JobId};
 use mastknot_virtual::{JobSystem, JobSystemSettings};
 
-/// 48 targets hold 480 tasks; 4 tasks of 80 ms each 1.1 ms keep 290 of them busy.
+/// Number of sides. Their 48 targets can run 480 tasks; a job of 4 tasks of 80 ms every 1.1 ms keeps 290 running.
 const SIDES: usize = 48;
 const ENTRIES: usize = 6;
-const EACH: Duration = Duration::from_micros(1_100);
-/// 1.6 times the work and 60 ms more.
+/// Time between two jobs.
+const JOB_INTERVAL: Duration = Duration::from_micros(1_100);
+/// Latency objective of a job: 1.6 times the work plus 60 ms.
 const OBJECTIVE: Duration = Duration::from_millis(188);
 
 fn secs(secs: u64) -> Duration {
     Duration::from_secs(secs)
 }
 
-/// The share of the jobs in time while a third of the targets is cold.
+/// Returns the share of jobs that complete in time while a third of the targets is cold.
 fn in_time(is_hidden: bool) -> f64 {
     let mut system = JobSystem::new(JobSystemSettings {
         entries: ENTRIES,
@@ -32,7 +33,7 @@
     let mut jobs: Vec<JobId> = Vec::new();
     while at < secs(9) {
         jobs.push(system.submit(at, jobs.len() % ENTRIES, 4, Duration::from_millis(80)));
-        at += EACH;
+        at += JOB_INTERVAL;
     }
     system.run_until(secs(13));
     assert_eq!(system.violations(), []);
@@ -43,12 +44,13 @@
     jobs.iter().filter(is_in_time).count() as f64 / jobs.len() as f64
 }
 
-/// Tasks take three times their time at cold targets: a job of four tasks is late with one of them.
+/// Guards against placing tasks on cold targets while warm ones have capacity. A task takes three times as long on a
+/// cold target, so one such task makes its job of four tasks late.
 #[test]
 fn warm_targets_are_filled_before_cold_ones() {
     let (hidden, known) = (in_time(true), in_time(false));
     println!(
-        "in time: {hidden:.3} where targets do not say that they are cold, {known:.3} where they do"
+        "in time: {hidden:.3} where targets do not report that they are cold, {known:.3} where they do"
     );
     assert!(known >= 0.99, "{known:.3}");
     assert!(known > hidden, "{hidden:.3}, {known:.3}");
--- a/crates/mastknot_virtual/tests/common/mod.rs
+++ b/crates/mastknot_virtual/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share.
+//! Fixtures and assertions that the tests of this crate share.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use mastknot_core::types::SubmissionKey;
 use mastknot_virtual::{Delays, VirtualSystem};
 
-/// Long enough for every roster and configuration to settle.
+/// Time within which the rosters and configurations of all processes have settled.
 pub const SETTLE: Duration = Duration::from_secs(5);
 
-/// Entries in halls `h1`, `h2`, ... and sides of `slots` slots beside them, with the services
-/// `pay` (may not be repeated) and `look` (may be), settled.
+/// Returns a settled system with entries in the halls `h1`, `h2`, ... and sides of `slots` slots in the same
+/// halls. Requests to the service `look` may be repeated, those to `pay` may not.
 pub fn system(entries: usize, sides: usize, slots: u16, seed: u64) -> VirtualSystem {
     let mut system = VirtualSystem::new(Delays::KALAHARI, seed);
     for index in 0..entries {
@@ -26,12 +26,12 @@
     system
 }
 
-/// The bytes of a task that runs this long; `text` makes them unlike others.
+/// Returns the payload of a task that runs for `millis`; `text` makes it differ from other payloads.
 pub fn task(millis: u64, text: &str) -> Payload {
     format!("{} {text}", millis * 1_000).into_bytes().into()
 }
 
-/// A job of `count` tasks that each run `millis`.
+/// Returns a job of `count` tasks that run for `millis` each.
 pub fn job(key: SubmissionKey, count: usize, millis: u64) -> Submission {
     Submission {
         key,
@@ -46,7 +46,7 @@
     }
 }
 
-/// One request to a service.
+/// Returns a request to a service that runs for `millis`.
 pub fn request(key: SubmissionKey, service: &str, millis: u64) -> Submission {
     Submission {
         kind: SubmissionKind::Request,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A key made now that an entry holds.
+/// Returns a new key whose partition the given entry owns.
 pub fn key_held_by(system: &mut VirtualSystem, entry: usize) -> SubmissionKey {
     loop {
         let key = system.new_key();
@@ -68,12 +68,12 @@
     }
 }
 
-/// Whether a reply is a complete answer.
+/// Returns whether the reply is a complete answer.
 pub fn is_complete(reply: Option<&Reply>) -> bool {
     matches!(reply, Some(Reply::Answered(SubmissionAnswer::Complete(_))))
 }
 
-/// Fails unless every promise was kept.
+/// Panics if the audit recorded a violation of a guarantee.
 pub fn assert_kept(system: &VirtualSystem) {
     assert_eq!(system.audit.violations(), &[]);
 }
--- a/crates/mastknot_virtual/tests/configuration_growth.rs
+++ b/crates/mastknot_virtual/tests/configuration_growth.rs
@@ -1,20 +1,11 @@
-//! A configuration that grows, on many sides behind thin links.
+//! Guards against overload by a configuration that grows, on many sides behind bandwidth-limited links.
 //!
-//! What users saw: on deployments of 11 entries and 62 sides, a configuration 1,400 routes longer was confirmed
-//! and not in force seven seconds later; from some seconds before that on almost every request was
-//! refused, and service did not come back.
-//!
-//! The order of events: a new version is confirmed; each entry sends the whole of it to each of its sides;
-//! heartbeats wait behind it in the same links for longer than a lease; sides end the leases and the links,
-//! dial again, and are greeted with the whole version once more. The entries' own reads of the store wait
-//! behind all that.
-//!
-//! The cause: a message the size of the configuration for each pair of entry and side, sent without being
-//! asked for, and again by the very reconnecting that it brings about.
-//!
-//! Evidence: an own day with nothing wrong but 1,400 routes more; the counters of link bytes by kind, the late
-//! confirmations and the `lease_ended` lines of its logs, and the first test here, in which the cores alone bring
-//! the same about.
+//! With 11 entries, 62 sides and 1,400 more routes, a confirmed configuration was not in force seven seconds later,
+//! almost every request was refused, and service did not recover. Each entry sent the whole version to each of its
+//! sides without being asked. Heartbeats waited behind it in the same links for longer than a lease, so sides ended the
+//! leases and the links, dialed again and received the whole version once more. The entries' own reads of the store
+//! waited behind that traffic as well. The cause was a message of the size of the configuration for each pair of entry
+//! and side, repeated by the reconnects that it caused. The first test reproduces this with the cores alone.
 
 use std::time::Duration;
 
@@ -23,12 +14,13 @@
 
 const ENTRIES: usize = 11;
 const SIDES: usize = 62;
-/// 25 Mbit/s, in bytes a second.
-const THIN_LINK: u64 = 25_000_000 / 8;
-/// A configuration of some dozen routes, in bytes.
-const SMALL: usize = 3_500;
-/// One of 1,400 routes more.
-const LARGE: usize = 350_000;
+/// Bandwidth of an entry's link: 25 Mbit/s, in bytes per second.
+const ENTRY_LINK_BYTES_PER_S: u64 = 25_000_000 / 8;
+/// Size of a configuration of some dozen routes, in bytes.
+const SMALL_CONFIG: usize = 3_500;
+/// Size of a configuration with 1,400 more routes, in bytes.
+const LARGE_CONFIG: usize = 350_000;
+/// Indexes of all entries.
 const ALL: [usize; ENTRIES] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
 
 fn system(entry_link: u64) -> JobSystem {
@@ -40,7 +32,7 @@
         active_links: None,
         seed: 7,
     });
-    system.publish(ms(100), 1, SMALL, &ALL);
+    system.publish(ms(100), 1, SMALL_CONFIG, &ALL);
     system
 }
 
@@ -48,7 +40,7 @@
     Duration::from_millis(ms)
 }
 
-/// Hands in a job at each entry every `each` milliseconds.
+/// Submits a job at each entry every `each` milliseconds.
 fn submit_steadily(system: &mut JobSystem, from: u64, until: u64, each: usize) -> Vec<JobId> {
     let times = (from..until).step_by(each);
     let all = times.flat_map(|at| ALL.map(|entry| (at, entry)));
@@ -57,14 +49,14 @@
 }
 
 #[test]
-fn a_configuration_that_grows_costs_no_link() {
-    let mut system = system(THIN_LINK);
+fn a_configuration_that_grows_closes_no_link() {
+    let mut system = system(ENTRY_LINK_BYTES_PER_S);
     let jobs = submit_steadily(&mut system, 1_500, 6_000, 20);
-    system.publish(ms(2_000), 2, LARGE, &ALL);
+    system.publish(ms(2_000), 2, LARGE_CONFIG, &ALL);
     system.run_until(ms(9_000));
 
     let closed = system.link_record().closed(ms(1_500), ms(9_000));
-    assert_eq!(closed, 0, "links were given up though nothing is wrong");
+    assert_eq!(closed, 0, "links were closed although there was no fault");
     assert_eq!(system.audit().completed(&jobs), jobs.len());
     assert_eq!(system.versions_in_force(), [2; ENTRIES]);
     assert!(system.violations().is_empty());
@@ -72,26 +64,26 @@
 
 #[test]
 fn the_bytes_of_a_version_grow_with_nodes_and_not_with_pairs() {
-    let mut system = system(THIN_LINK);
+    let mut system = system(ENTRY_LINK_BYTES_PER_S);
     system.run_until(ms(2_000));
     let before = system.link_record().bytes(ms(1_000), ms(2_000));
-    system.publish(ms(2_000), 2, LARGE, &ALL);
+    system.publish(ms(2_000), 2, LARGE_CONFIG, &ALL);
     system.run_until(ms(9_000));
 
     let after = system.link_record().bytes(ms(2_000), ms(9_000));
     let of_the_version = after.saturating_sub(7 * before);
     let nodes = (ENTRIES + SIDES) as u64;
     assert!(
-        of_the_version <= nodes * LARGE as u64,
+        of_the_version <= nodes * LARGE_CONFIG as u64,
         "{of_the_version} bytes for {nodes} nodes"
     );
 }
 
 #[test]
 fn a_flood_of_versions_is_over_within_two_seconds() {
-    let mut system = system(THIN_LINK);
+    let mut system = system(ENTRY_LINK_BYTES_PER_S);
     for number in 0..20 {
-        system.publish(ms(2_000 + 100 * number), 2 + number, LARGE, &ALL);
+        system.publish(ms(2_000 + 100 * number), 2 + number, LARGE_CONFIG, &ALL);
     }
     system.run_until(ms(8_000));
 
@@ -105,9 +97,9 @@
 }
 
 #[test]
-fn links_that_are_all_reset_come_back_at_the_cost_of_small_messages() {
-    let mut system = system(THIN_LINK);
-    system.publish(ms(500), 2, LARGE, &ALL);
+fn resetting_all_links_costs_only_small_messages() {
+    let mut system = system(ENTRY_LINK_BYTES_PER_S);
+    system.publish(ms(500), 2, LARGE_CONFIG, &ALL);
     for entry in 0..ENTRIES {
         for side in 0..SIDES {
             let fault = JobFault::ResetLink { entry, side };
@@ -119,7 +111,7 @@
 
     let pairs = (ENTRIES * SIDES) as u64;
     let opened = system.link_record().opened(ms(5_000), ms(9_000));
-    assert_eq!(opened, pairs, "each link is made again once");
+    assert_eq!(opened, pairs, "each link is opened again exactly once");
     let usual = system.link_record().bytes(ms(4_000), ms(5_000));
     let restoring = system.link_record().bytes(ms(5_000), ms(6_000));
     assert!(
@@ -129,18 +121,18 @@
 }
 
 #[test]
-fn an_entry_that_the_store_turns_away_hears_of_a_version_from_others() {
-    let mut system = system(THIN_LINK);
-    system.publish(ms(2_000), 2, LARGE, &ALL[1..]);
+fn an_entry_that_the_store_rejects_receives_a_version_from_others() {
+    let mut system = system(ENTRY_LINK_BYTES_PER_S);
+    system.publish(ms(2_000), 2, LARGE_CONFIG, &ALL[1..]);
     system.run_until(ms(4_000));
 
     assert_eq!(system.versions_in_force(), [2; ENTRIES]);
 }
 
 #[test]
-fn an_entry_that_starts_while_the_store_is_away_has_the_configuration_at_once() {
-    let mut system = system(THIN_LINK);
-    system.publish(ms(2_000), 2, LARGE, &ALL);
+fn an_entry_that_starts_while_the_store_is_unreachable_has_the_configuration_at_once() {
+    let mut system = system(ENTRY_LINK_BYTES_PER_S);
+    system.publish(ms(2_000), 2, LARGE_CONFIG, &ALL);
     system.run_until(ms(5_000));
     system.set_store_reachable(false);
     let down = ms(200);
@@ -154,8 +146,9 @@
     assert_eq!(system.versions_in_force(), [2; ENTRIES]);
 }
 
-/// On links of 2 Mbit/s, 4 entries and 22 sides: the longest wait is 7.2 ms with and without a new version; it is that of
-/// the last of 22 heartbeats that are sent together.
+/// Guards against small messages that wait behind a new configuration version, on links of 2 Mbit/s with 4 entries and
+/// 22 sides. The longest wait is 7.2 ms with and without a new version: that of the last of 22 heartbeats that are sent
+/// together.
 #[test]
 fn small_messages_wait_five_milliseconds_at_most_behind_a_version() {
     let longest = |with_version| {
@@ -167,9 +160,9 @@
             active_links: None,
             seed: 7,
         });
-        system.publish(ms(100), 1, SMALL, &ALL[..4]);
+        system.publish(ms(100), 1, SMALL_CONFIG, &ALL[..4]);
         if with_version {
-            system.publish(ms(2_000), 2, LARGE, &ALL[..4]);
+            system.publish(ms(2_000), 2, LARGE_CONFIG, &ALL[..4]);
         }
         system.run_until(ms(20_000));
         let record = system.link_record();
@@ -184,8 +177,8 @@
     );
 }
 
-/// What strikes all entries or all sides at once, two seconds after a large configuration.
-fn strikes() -> Vec<(&'static str, Vec<JobFault>)> {
+/// Returns named sets of faults that hit all entries, all sides or all links at once.
+fn widespread_faults() -> Vec<(&'static str, Vec<JobFault>)> {
     let entries = 0..ENTRIES;
     let sides = 0..SIDES;
     let down = ms(100);
@@ -202,21 +195,21 @@
                 .collect(),
         ),
         (
-            "all entries started anew",
+            "all entries restarted",
             entries
                 .clone()
                 .map(|entry| JobFault::KillEntry { entry, down })
                 .collect(),
         ),
         (
-            "all sides started anew",
+            "all sides restarted",
             sides
                 .clone()
                 .map(|side| JobFault::KillSide { side, down })
                 .collect(),
         ),
         (
-            "all entries held for a second",
+            "all entries paused for a second",
             entries
                 .clone()
                 .map(|entry| JobFault::PauseEntry {
@@ -235,10 +228,10 @@
 }
 
 #[test]
-fn whatever_strikes_the_links_all_is_as_before_two_seconds_later() {
-    for (what, faults) in strikes() {
-        let mut system = system(THIN_LINK);
-        system.publish(ms(2_000), 2, LARGE, &ALL);
+fn traffic_is_back_to_usual_after_faults_of_all_links_entries_or_sides() {
+    for (name, faults) in widespread_faults() {
+        let mut system = system(ENTRY_LINK_BYTES_PER_S);
+        system.publish(ms(2_000), 2, LARGE_CONFIG, &ALL);
         for fault in faults {
             system.plan(JobFaultPlan {
                 at: ms(5_000),
@@ -246,22 +239,25 @@
             });
         }
         submit_steadily(&mut system, 1_500, 14_000, 100);
-        // The longest of them goes on for three seconds.
+        // The longest fault lasts for three seconds.
         system.run_until(ms(14_000));
         let record = system.link_record();
-        let restless =
+        let opened_or_closed =
             record.opened(ms(10_000), ms(14_000)) + record.closed(ms(10_000), ms(14_000));
-        assert_eq!(restless, 0, "links still come and go after: {what}");
+        assert_eq!(
+            opened_or_closed, 0,
+            "links are still opened or closed after: {name}"
+        );
         let usual = record.bytes(ms(4_000), ms(5_000));
         let later = record.bytes(ms(12_000), ms(13_000));
         assert!(
             later <= usual + usual / 5,
-            "{usual} bytes a second, {later} after: {what}"
+            "{usual} bytes a second, {later} after: {name}"
         );
-        assert_eq!(system.versions_in_force(), [2; ENTRIES], "{what}");
+        assert_eq!(system.versions_in_force(), [2; ENTRIES], "{name}");
         assert!(
             system.violations().is_empty(),
-            "{what}: {:?}",
+            "{name}: {:?}",
             system.violations()
         );
     }
--- a/crates/mastknot_virtual/tests/contained_kinds.rs
+++ b/crates/mastknot_virtual/tests/contained_kinds.rs
@@ -1,9 +1,8 @@
-//! Kinds of tasks that crash the targets on which they start: one in ten jobs of one queue, each job a new one.
+//! Guards against a kind of task that crashes the targets on which it starts: one in ten jobs of one queue.
 //!
-//! What callers saw: for as long as such jobs came, nearly all jobs of all queues were refused. What happened: each such job
-//! crashed two targets before it was known for what it is, each of them gone for seconds, and more of them came in
-//! that time than there were targets. The cause: what was known of one job said nothing of the next one of its
-//! queue, and every target took the tasks of every queue.
+//! While such jobs came, nearly all jobs of all queues were refused. Each bad job crashed two targets before it was
+//! detected, each target was down for seconds, and more bad jobs came in that time than there were targets. Knowledge
+//! of one job was not applied to the next job of its queue, and every target took the tasks of every queue.
 
 use std::time::Duration;
 
@@ -12,11 +11,11 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Ten tasks of a job of the virtual system fill a target.
+/// Processor time of a target, in thousandths of a processor: enough for ten tasks of the virtual system.
 const TARGET_CPU: u32 = 16_000;
-/// Links stand by then.
+/// Time by which the links are established, in milliseconds.
 const SETTLED_MS: u64 = 1_000;
-/// One in so many jobs of a bad queue crashes targets.
+/// One in this many jobs of a bad queue crashes targets.
 const BAD_ONE_IN: usize = 10;
 const CRASH: TaskCrash = TaskCrash {
     tasks: 1,
@@ -24,16 +23,16 @@
     down: Duration::from_millis(3_300),
     is_silent: false,
 };
-/// The share of its jobs with which a queue counts as served in a window.
+/// Share of completed jobs from which a queue counts as served in a window.
 const WELL_SERVED: f64 = 0.95;
-/// What a window of the audit is long.
+/// Length of a window of the audit, in milliseconds.
 const WINDOW_MS: u64 = 2_000;
 
 fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A queue's jobs: their tasks, the work of each, and how many come a second for each target.
+/// Jobs of a queue: number of tasks per job, work of a task, and jobs per second and target.
 #[derive(Clone, Copy, Debug)]
 struct Queue {
     name: &'static str,
@@ -42,7 +41,7 @@
     per_target_s: f64,
 }
 
-/// Short wide jobs, long ones and narrow ones: seven tenths of what the targets bear in all.
+/// Queues with short wide jobs, long jobs and narrow jobs: together seven tenths of what the targets can run.
 const QUEUES: [Queue; 3] = [
     Queue {
         name: "short",
@@ -80,7 +79,7 @@
     sides: 240,
 };
 
-/// When a queue's jobs come, and which of them are bad.
+/// Period of time, without its end.
 #[derive(Clone, Copy, Debug)]
 struct Span {
     from_ms: u64,
@@ -88,20 +87,20 @@
 }
 
 impl Span {
-    fn holds(&self, ms: u64) -> bool {
+    fn contains(&self, ms: u64) -> bool {
         (self.from_ms..self.until_ms).contains(&ms)
     }
 }
 
-struct Play {
+struct Simulation {
     system: JobSystem,
-    /// Sound jobs by queue and when they come.
-    sound: Vec<(usize, u64, JobId)>,
+    /// Healthy jobs with their queue and the time of their submission, in milliseconds.
+    healthy: Vec<(usize, u64, JobId)>,
     bad: Vec<JobId>,
 }
 
-/// A load until `end_ms`, of which one in ten jobs of the queues in `bad` crashes targets within the span.
-fn play(seed: u64, fleet: Fleet, end_ms: u64, bad: &[usize], span: Span) -> Play {
+/// Prepares a load until `end_ms` in which one in ten jobs of the queues in `bad` crashes targets during the span.
+fn simulate(seed: u64, fleet: Fleet, end_ms: u64, bad: &[usize], span: Span) -> Simulation {
     let mut system = JobSystem::new(JobSystemSettings {
         entries: fleet.entries,
         sides: fleet.sides,
@@ -111,7 +110,7 @@
         seed,
     });
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut play = (Vec::new(), Vec::new());
+    let mut jobs = (Vec::new(), Vec::new());
     for (place, queue) in QUEUES.iter().enumerate() {
         let per_s = queue.per_target_s * fleet.sides as f64;
         let count = (per_s * (end_ms - SETTLED_MS) as f64 / 1_000.0) as u64;
@@ -126,21 +125,25 @@
                 queue.tasks,
                 millis(queue.work_ms),
             );
-            let is_bad = bad.contains(&place) && span.holds(at);
+            let is_bad = bad.contains(&place) && span.contains(at);
             if is_bad && rng.random_range(0..BAD_ONE_IN) == 0 {
                 system.make_tasks_crash_targets(job, CRASH);
-                play.1.push(job);
+                jobs.1.push(job);
             } else {
-                play.0.push((place, at, job));
+                jobs.0.push((place, at, job));
             }
         }
     }
-    let (sound, bad) = play;
-    Play { system, sound, bad }
+    let (healthy, bad) = jobs;
+    Simulation {
+        system,
+        healthy,
+        bad,
+    }
 }
 
-impl Play {
-    /// The share of the sound jobs of these queues that are completed, for each window from a time to another.
+impl Simulation {
+    /// Returns the share of completed jobs among the healthy jobs of these queues, for each window of the period.
     fn shares(&self, queues: &[usize], from_ms: u64, until_ms: u64) -> Vec<f64> {
         let windows = (from_ms..until_ms).step_by(WINDOW_MS as usize);
         let shares = windows.map(|begin| {
@@ -148,8 +151,8 @@
                 from_ms: begin,
                 until_ms: begin + WINDOW_MS,
             };
-            let jobs = self.sound.iter();
-            let jobs = jobs.filter(|(queue, at, _)| queues.contains(queue) && span.holds(*at));
+            let jobs = self.healthy.iter();
+            let jobs = jobs.filter(|(queue, at, _)| queues.contains(queue) && span.contains(*at));
             let jobs: Vec<JobId> = jobs.map(|(_, _, job)| *job).collect();
             self.system.audit().completed(&jobs) as f64 / jobs.len().max(1) as f64
         });
@@ -170,10 +173,10 @@
 #[test]
 fn queues_that_crash_nothing_are_served_beside_one_that_does() {
     for seed in 0..5 {
-        let mut play = play(seed, SMALL, END_MS, &[0], BAD_SPAN);
-        play.system.run_until(millis(END_MS + 4_000));
-        assert_eq!(play.system.violations(), [], "seed {seed}");
-        let others = play.shares(&[1, 2], 4_000, END_MS);
+        let mut simulation = simulate(seed, SMALL, END_MS, &[0], BAD_SPAN);
+        simulation.system.run_until(millis(END_MS + 4_000));
+        assert_eq!(simulation.system.violations(), [], "seed {seed}");
+        let others = simulation.shares(&[1, 2], 4_000, END_MS);
         assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.2?}");
     }
 }
@@ -184,20 +187,20 @@
         from_ms: 3_000,
         until_ms: 9_000,
     };
-    let mut play = play(1, LARGE, 9_000, &[0], span);
-    play.system.run_until(millis(12_000));
-    assert_eq!(play.system.violations(), []);
-    let others = play.shares(&[1, 2], 3_000, 9_000);
+    let mut simulation = simulate(1, LARGE, 9_000, &[0], span);
+    simulation.system.run_until(millis(12_000));
+    assert_eq!(simulation.system.violations(), []);
+    let others = simulation.shares(&[1, 2], 3_000, 9_000);
     assert!(worst(&others) >= WELL_SERVED, "{others:.2?}");
 }
 
-/// The kind is released once its tasks have shown to be sound: it has all targets again.
+/// A kind is released and may use all targets again once its tasks have proved to be healthy.
 #[test]
-fn a_kind_that_is_sound_again_is_released() {
+fn a_kind_that_is_healthy_again_is_released() {
     for seed in 0..5 {
-        let mut play = play(seed, SMALL, END_MS, &[0], BAD_SPAN);
-        play.system.run_until(millis(END_MS + 4_000));
-        let after = play.shares(&[0], 19_000, END_MS);
+        let mut simulation = simulate(seed, SMALL, END_MS, &[0], BAD_SPAN);
+        simulation.system.run_until(millis(END_MS + 4_000));
+        let after = simulation.shares(&[0], 19_000, END_MS);
         assert!(worst(&after) >= WELL_SERVED, "seed {seed}: {after:.2?}");
     }
 }
@@ -205,34 +208,35 @@
 #[test]
 fn two_kinds_that_crash_targets_leave_the_third_its_own() {
     for seed in 0..5 {
-        let mut play = play(seed, SMALL, END_MS, &[0, 2], BAD_SPAN);
-        play.system.run_until(millis(END_MS + 4_000));
-        assert_eq!(play.system.violations(), [], "seed {seed}");
-        let others = play.shares(&[1], 4_000, END_MS);
+        let mut simulation = simulate(seed, SMALL, END_MS, &[0, 2], BAD_SPAN);
+        simulation.system.run_until(millis(END_MS + 4_000));
+        assert_eq!(simulation.system.violations(), [], "seed {seed}");
+        let others = simulation.shares(&[1], 4_000, END_MS);
         assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.2?}");
     }
 }
 
-/// All processes are killed in the middle of it; the shares of the sound jobs of the other queues from 10 s on.
+/// Kills all processes while a queue crashes targets. Returns the shares of completed jobs among the healthy jobs of
+/// the other queues from 10 s on.
 fn shares_after_a_restart_of_all(seed: u64, bad: usize) -> Vec<f64> {
-    let mut play = play(seed, SMALL, END_MS, &[bad], BAD_SPAN);
+    let mut simulation = simulate(seed, SMALL, END_MS, &[bad], BAD_SPAN);
     let at = millis(8_500);
     let down = millis(300);
     for entry in 0..SMALL.entries {
         let fault = JobFault::KillEntry { entry, down };
-        play.system.plan(JobFaultPlan { at, fault });
+        simulation.system.plan(JobFaultPlan { at, fault });
     }
     for side in 0..SMALL.sides {
         let fault = JobFault::KillSide { side, down };
-        play.system.plan(JobFaultPlan { at, fault });
+        simulation.system.plan(JobFaultPlan { at, fault });
     }
-    play.system.run_until(millis(END_MS + 4_000));
-    assert_eq!(play.system.violations(), [], "seed {seed}");
+    simulation.system.run_until(millis(END_MS + 4_000));
+    assert_eq!(simulation.system.violations(), [], "seed {seed}");
     let others: Vec<usize> = (0..QUEUES.len()).filter(|queue| *queue != bad).collect();
-    play.shares(&others, 10_000, END_MS)
+    simulation.shares(&others, 10_000, END_MS)
 }
 
-/// All processes are killed in the middle of it: what is contained is forgotten, and found again.
+/// A restart of all processes loses the knowledge of contained kinds; the kind must be detected again.
 #[test]
 fn a_restart_of_all_processes_finds_the_kind_again() {
     for seed in 0..5 {
@@ -241,7 +245,8 @@
     }
 }
 
-/// Callers that came back at once were refused while long jobs that could have waited held the room.
+/// Guards against refusing callers that return together after a restart while long jobs that could have waited hold
+/// the capacity.
 #[test]
 fn callers_that_come_back_after_a_restart_are_served() {
     for seed in [22, 23, 40, 45, 51, 56, 57, 58] {
@@ -250,7 +255,8 @@
     }
 }
 
-/// The same beside a kind that has half of the targets: what is left is short for longer.
+/// Guards against refusing returning callers beside a kind that contains half of the targets, where the remaining
+/// capacity is scarce for longer.
 #[test]
 fn callers_that_come_back_are_served_beside_a_kind_with_half_of_the_targets() {
     for seed in 0..8 {
@@ -259,18 +265,20 @@
     }
 }
 
-/// The shares of the sound jobs of the other queues while a queue crashes targets and after it.
+/// Returns the shares of completed jobs among the healthy jobs of the other queues while a queue crashes targets and
+/// after that.
 fn shares_beside(seed: u64, bad: usize) -> Vec<f64> {
-    let mut play = play(seed, SMALL, END_MS, &[bad], BAD_SPAN);
-    play.system.run_until(millis(END_MS + 4_000));
-    assert_eq!(play.system.violations(), [], "seed {seed}");
+    let mut simulation = simulate(seed, SMALL, END_MS, &[bad], BAD_SPAN);
+    simulation.system.run_until(millis(END_MS + 4_000));
+    assert_eq!(simulation.system.violations(), [], "seed {seed}");
     let others: Vec<usize> = (0..QUEUES.len()).filter(|queue| *queue != bad).collect();
-    play.shares(&others, BAD_SPAN.from_ms, END_MS)
+    simulation.shares(&others, BAD_SPAN.from_ms, END_MS)
 }
 
-/// One entry released a kind in the middle of it, and let it crash targets that others kept for sound jobs.
+/// Guards against an entry that releases a kind while its tasks still crash targets: the kind then crashes targets that
+/// other entries keep for healthy jobs.
 #[test]
-fn others_are_served_while_a_kind_crashes_targets_on_and_on() {
+fn others_are_served_while_a_kind_keeps_crashing_targets() {
     let narrow = [
         4, 314, 330, 336, 338, 357, 399, 440, 443, 454, 482, 504, 505, 551,
     ];
@@ -283,16 +291,18 @@
     }
 }
 
-/// A sound kind was taken for the one that crashed targets: next to nothing of it was served for seconds.
+/// Guards against containing a healthy kind in place of the one that crashes targets: almost none of its jobs were
+/// served for seconds.
 #[test]
-fn a_sound_kind_is_not_contained_beside_one_that_crashes_targets() {
+fn a_healthy_kind_is_not_contained_beside_one_that_crashes_targets() {
     for seed in [34, 185, 229, 249] {
         let others = shares_beside(seed, 2);
         assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
     }
 }
 
-/// After the restart the kind had another part than before, while targets that it had crashed were still gone.
+/// Guards against a contained kind that gets other reserved sides after a restart than before, while targets that it
+/// had crashed are still down.
 #[test]
 fn others_are_served_after_a_restart_beside_a_kind_with_half_of_the_targets() {
     for seed in [8, 34, 50, 52, 75, 87, 145, 148, 185, 189, 198] {
@@ -301,40 +311,40 @@
     }
 }
 
-/// Crashes that no task brings about contain nobody.
+/// Crashes that no task causes must not lead to the containment of a kind.
 #[test]
 fn random_crashes_contain_no_kind() {
     for seed in 0..200 {
-        let mut play = play(seed, SMALL, 15_000, &[], BAD_SPAN);
+        let mut simulation = simulate(seed, SMALL, 15_000, &[], BAD_SPAN);
         let mut rng = StdRng::seed_from_u64(seed);
         for _ in 0..rng.random_range(2..9) {
             let at = millis(rng.random_range(1_500..15_000));
             let count = [1, 1, 1, 3, 4][rng.random_range(0..5)];
             let first = rng.random_range(0..SMALL.sides);
             let down = millis(rng.random_range(300..4_000));
-            let is_dark = rng.random_bool(0.3);
+            let is_silent = rng.random_bool(0.3);
             for side in first..(first + count).min(SMALL.sides) {
                 let fault = JobFault::CrashTarget {
                     side,
                     down,
-                    is_silent: is_dark,
+                    is_silent,
                 };
-                play.system.plan(JobFaultPlan { at, fault });
+                simulation.system.plan(JobFaultPlan { at, fault });
             }
         }
-        play.system.run_until(millis(18_000));
-        assert_eq!(play.system.kinds_contained(), 0, "seed {seed}");
+        simulation.system.run_until(millis(18_000));
+        assert_eq!(simulation.system.kinds_contained(), 0, "seed {seed}");
     }
 }
 
-/// The callers of jobs that can't be done learn so.
+/// No caller of a job that crashes targets receives a completed answer.
 #[test]
 fn bad_jobs_are_not_completed() {
-    let mut play = play(1, SMALL, END_MS, &[0], BAD_SPAN);
-    play.system.run_until(millis(END_MS + 4_000));
-    assert!(!play.bad.is_empty());
-    for job in &play.bad {
-        let answers = play.system.audit().answers_to(*job);
+    let mut simulation = simulate(1, SMALL, END_MS, &[0], BAD_SPAN);
+    simulation.system.run_until(millis(END_MS + 4_000));
+    assert!(!simulation.bad.is_empty());
+    for job in &simulation.bad {
+        let answers = simulation.system.audit().answers_to(*job);
         let is_completed =
             |given: &mastknot_virtual::GivenAnswer| given.answer == JobAnswer::Completed;
         assert!(!answers.iter().any(is_completed));
--- a/crates/mastknot_virtual/tests/control_messages.rs
+++ b/crates/mastknot_virtual/tests/control_messages.rs
@@ -1,4 +1,4 @@
-//! Control messages stay within bounds, however many sides there are.
+//! Checks that the number of control messages stays bounded with any number of sides.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::{SETTLE, assert_kept, is_complete, job, system};
 use mastknot_virtual::{Delays, MessageKind, VirtualSystem};
 
-/// Found with the slopes: every entry sent every change to every side at once.
+/// Guards against entries that each send every change to every side.
 #[test]
 fn a_change_goes_to_each_side_once() {
     let mut system = system(3, 6, 2, 1);
@@ -20,7 +20,7 @@
     system.write_resource("team", "team", r#"{"quota":7}"#);
     system.run_for(SETTLE);
     let sent = system.messages.of(MessageKind::Config) - before - heartbeats;
-    // To each side once, its acknowledgement to each entry, and each entry's word to each peer.
+    // Each side receives the change once and acknowledges it to each entry, and each entry reports it to each peer.
     let (to_sides, acknowledgements, to_peers) = (6, 6 * 3, 3 * 2);
     assert_eq!(sent, to_sides + acknowledgements + to_peers);
     assert_kept(&system);
@@ -39,7 +39,7 @@
     system
 }
 
-/// Idle credits were renewed side by side: with many sides, one message each.
+/// Guards against renewing the idle credits of each side with a message of its own.
 #[test]
 fn an_idle_system_renews_a_bounded_number_of_credits() {
     let mut system = large_system(200);
@@ -52,7 +52,7 @@
     );
 }
 
-/// A large job asked as many sides as it had tasks.
+/// Guards against a large job that asks as many sides for credits as it has tasks.
 #[test]
 fn a_large_job_asks_only_as_many_sides_as_have_the_slots() {
     let mut system = large_system(200);
@@ -74,10 +74,10 @@
     assert_kept(&system);
 }
 
-/// Entries named every team with running tasks to each other, whatever its quota.
+/// Guards against entries that report every team with running tasks to each other, whatever its quota.
 #[test]
-fn only_teams_near_their_quota_are_named_to_peers() {
-    let told = |quota: u32| {
+fn only_teams_near_their_quota_are_reported_to_peers() {
+    let messages_to_peers = |quota: u32| {
         let mut system = system(2, 2, 8, 5);
         let value = format!(r#"{{"quota":{quota}}}"#);
         system.write_resource("team", "team", &value);
@@ -91,6 +91,6 @@
         assert_kept(&system);
         system.messages.of(MessageKind::Other) - before
     };
-    assert_eq!(told(100_000), 0);
-    assert!(told(4) > 0);
+    assert_eq!(messages_to_peers(100_000), 0);
+    assert!(messages_to_peers(4) > 0);
 }
--- a/crates/mastknot_virtual/tests/copies.rs
+++ b/crates/mastknot_virtual/tests/copies.rs
@@ -1,4 +1,5 @@
-//! Copies of a job: its caller gives up and hands it in again, while an entry still has it or has yet to read it.
+//! Guards against concurrent runs of duplicate submissions: a caller gives up and submits its job again while an entry
+//! still has the job or has yet to read it.
 
 use std::time::Duration;
 
@@ -11,18 +12,18 @@
 
 const ENTRIES: usize = 4;
 const SIDES: usize = 5;
-/// Seeds of each play with one fault.
+/// Number of seeds for each scenario with one fault.
 const SEEDS: u64 = 12;
-/// Histories that CI runs; `MASTKNOT_HISTORIES` asks for more.
+/// Number of histories that CI runs; `MASTKNOT_HISTORIES` sets another number.
 const CI_HISTORIES: u64 = 300;
-/// When the jobs of a play with one fault are handed in, in milliseconds.
-const HANDED_IN: u64 = 1_000;
-/// After this a caller gives up, in milliseconds.
+/// Time of the submission of the jobs in a scenario with one fault, in milliseconds.
+const SUBMITTED_AT: u64 = 1_000;
+/// Time after which a caller gives up, in milliseconds.
 const GIVES_UP_AFTER: u64 = 2_060;
-/// After this a caller that has given up comes again.
-const COMES_AGAIN_AFTER: u64 = 1_300;
-/// What is read late, by how much later than the copy is handed in.
-const READ_BEHIND_COPY: [i64; 7] = [-60, -20, -1, 1, 20, 120, 400];
+/// Time after which a caller that has given up submits its job again, in milliseconds.
+const SUBMITS_AGAIN_AFTER: u64 = 1_300;
+/// Times at which a delayed request is read, in milliseconds after the submission of its duplicate.
+const READ_AFTER_DUPLICATE: [i64; 7] = [-60, -20, -1, 1, 20, 120, 400];
 
 fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -45,12 +46,12 @@
 }
 
 fn submit_all(system: &mut JobSystem, work: u64) -> Vec<JobId> {
-    let at = millis(HANDED_IN);
+    let at = millis(SUBMITTED_AT);
     let jobs = (0..6).map(|_| system.submit(at, 0, 3, millis(work)));
     jobs.collect()
 }
 
-/// What is wrong with a play, for a failed test to show.
+/// Returns a description of the violations and of the jobs and runs left over, if there are any.
 fn faults_found(system: &JobSystem) -> Option<String> {
     let violations = system.violations();
     let left_over = system.held_jobs_and_runs();
@@ -60,35 +61,36 @@
     let count = violations.len();
     let first = violations.first();
     Some(format!(
-        "{count} broken promises, left over {left_over:?}, first {first:?}"
+        "{count} violations, left over {left_over:?}, first {first:?}"
     ))
 }
 
-/// The same where all jobs have to be served.
+/// Returns a description of the violations, of the jobs and runs left over or of the number of jobs that were not
+/// completed, if there are any.
 fn faults_or_unserved(system: &JobSystem, jobs: &[JobId]) -> Option<String> {
     let served = system.audit().completed(jobs);
     let unserved = (served < jobs.len()).then(|| format!("{served} of {} served", jobs.len()));
     faults_found(system).or(unserved)
 }
 
-/// Notes the plays of a test that went wrong.
+/// Number of scenarios that a test has run, and descriptions of those that failed.
 #[derive(Default)]
-struct Plays {
+struct Scenarios {
     count: usize,
     failed: Vec<String>,
 }
 
-impl Plays {
-    fn note(&mut self, what: String, found: Option<String>) {
+impl Scenarios {
+    fn record(&mut self, context: String, found: Option<String>) {
         self.count += 1;
         self.failed
-            .extend(found.map(|found| format!("{what}: {found}")));
+            .extend(found.map(|found| format!("{context}: {found}")));
     }
 
-    fn assert_all_right(&self) {
+    fn assert_none_failed(&self) {
         assert!(
             self.failed.is_empty(),
-            "{} of {} plays failed:\n{}",
+            "{} of {} scenarios failed:\n{}",
             self.failed.len(),
             self.count,
             self.failed[..self.failed.len().min(10)].join("\n")
@@ -96,60 +98,62 @@
     }
 }
 
-/// Plays a fault from just before the jobs are handed in until a time beside that of their copies.
+/// Plays a fault that begins just before the jobs are submitted and ends shortly before or after their duplicates
+/// are.
 fn play_read_late(fault_for: impl Fn(Duration) -> JobFault) {
-    let copies_at = HANDED_IN + GIVES_UP_AFTER + COMES_AGAIN_AFTER;
-    let mut plays = Plays::default();
-    for behind in READ_BEHIND_COPY {
+    let duplicates_at = SUBMITTED_AT + GIVES_UP_AFTER + SUBMITS_AGAIN_AFTER;
+    let mut scenarios = Scenarios::default();
+    for behind in READ_AFTER_DUPLICATE {
         for seed in 0..SEEDS {
-            let begins = HANDED_IN - 10;
-            let time = millis(copies_at.saturating_add_signed(behind) - begins);
+            let begins = SUBMITTED_AT - 10;
+            let time = millis(duplicates_at.saturating_add_signed(behind) - begins);
             let mut system = system(seed);
             let jobs = submit_all(&mut system, 900);
             plan(&mut system, begins, fault_for(time));
             system.run_until(millis(17_000));
-            let what = format!("read {behind} ms behind the copy, seed {seed}");
-            plays.note(what, faults_or_unserved(&system, &jobs));
+            let context = format!("read {behind} ms after the duplicate, seed {seed}");
+            scenarios.record(context, faults_or_unserved(&system, &jobs));
         }
     }
-    plays.assert_all_right();
+    scenarios.assert_none_failed();
 }
 
 #[test]
-fn a_request_held_up_on_its_way_does_not_run_beside_its_copy() {
+fn a_delayed_request_does_not_run_beside_its_duplicate() {
     play_read_late(|time| JobFault::DelayRequests { entry: 0, time });
 }
 
 #[test]
-fn a_request_read_by_a_woken_entry_does_not_run_beside_its_copy() {
+fn a_request_read_by_a_resumed_entry_does_not_run_beside_its_duplicate() {
     play_read_late(|time| JobFault::StallEntry { entry: 0, time });
 }
 
-/// Plays callers that break off unseen while their jobs run.
-fn play_broken_off(work: u64, after: u64, seed: u64) -> Option<String> {
+/// Plays callers whose connections break, unnoticed by their entry, while their jobs run.
+fn play_disconnected(work: u64, after: u64, seed: u64) -> Option<String> {
     let mut system = system(seed);
     let jobs = submit_all(&mut system, work);
     let fault = JobFault::BreakCallers { entry: 0 };
-    plan(&mut system, HANDED_IN + after, fault);
+    plan(&mut system, SUBMITTED_AT + after, fault);
     system.run_until(millis(17_000));
     faults_or_unserved(&system, &jobs)
 }
 
 #[test]
-fn a_job_whose_caller_broke_off_unseen_does_not_run_beside_its_copy() {
-    let mut plays = Plays::default();
+fn a_job_whose_caller_disconnected_unnoticed_does_not_run_beside_its_duplicate() {
+    let mut scenarios = Scenarios::default();
     for work in [1_400, 1_700] {
         for after in [20, 60, 200, 350] {
             for seed in 0..SEEDS {
-                let what = format!("work {work} ms, broken off after {after} ms, seed {seed}");
-                plays.note(what, play_broken_off(work, after, seed));
+                let context = format!("work {work} ms, disconnected after {after} ms, seed {seed}");
+                scenarios.record(context, play_disconnected(work, after, seed));
             }
         }
     }
-    plays.assert_all_right();
+    scenarios.assert_none_failed();
 }
 
-/// Jobs of four lengths at all entries in turn: half of what the targets bear.
+/// Submits jobs of four lengths to the entries in turn, at half of what the targets can run. Returns the time, the
+/// identifier and the work of each job.
 fn load(system: &mut JobSystem, until: u64) -> Vec<(u64, JobId, u64)> {
     let times = (200..until).step_by(60);
     let jobs = times.enumerate().map(|(place, at)| {
@@ -161,12 +165,12 @@
     jobs.collect()
 }
 
-/// A fault of the ways between callers and an entry.
+/// Returns a random fault of the connections between callers and an entry.
 fn fault_of_callers(rng: &mut StdRng) -> JobFault {
     let entry = rng.random_range(0..ENTRIES);
     let short = rng.random_range(20..3_500);
-    let about_a_copy = rng.random_range(3_000..4_800);
-    let time = millis([short, about_a_copy][rng.random_range(0..2)]);
+    let until_a_duplicate = rng.random_range(3_000..4_800);
+    let time = millis([short, until_a_duplicate][rng.random_range(0..2)]);
     match rng.random_range(0..3) {
         0 => JobFault::DelayRequests { entry, time },
         1 => JobFault::BreakCallers { entry },
@@ -174,22 +178,22 @@
     }
 }
 
-/// A fault of processes, links or targets.
+/// Returns a random fault of a process, a link or a target.
 fn fault_of_machines(rng: &mut StdRng) -> JobFault {
     let entry = rng.random_range(0..ENTRIES);
     let side = rng.random_range(0..SIDES);
     let time = millis(rng.random_range(20..3_500));
     let directions = [Direction::ToSide, Direction::ToEntry, Direction::Both];
     let direction = directions[rng.random_range(0..3)];
-    let moods = [
+    let behaviours = [
         TargetBehaviour::FailsAll,
         TargetBehaviour::Stalls,
         TargetBehaviour::Slow(7),
         TargetBehaviour::AppliesLate(4),
         TargetBehaviour::LosesAnswers(4),
     ];
-    let mood = moods[rng.random_range(0..moods.len())];
-    let is_dark = rng.random_bool(0.5);
+    let behaviour = behaviours[rng.random_range(0..behaviours.len())];
+    let is_silent = rng.random_bool(0.5);
     match rng.random_range(0..12) {
         0 | 1 => JobFault::KillEntry { entry, down: time },
         2 => JobFault::PauseEntry { entry, time },
@@ -207,18 +211,18 @@
         10 => JobFault::CrashTarget {
             side,
             down: time,
-            is_silent: is_dark,
+            is_silent,
         },
         _ => JobFault::Misbehave {
             side,
-            behaviour: mood,
+            behaviour,
             time,
         },
     }
 }
 
-/// Plays faults of callers among others, of which it leaves some out.
-fn random_history(plays: &mut Plays, seed: u64, is_left_out: impl Fn(&JobFault) -> bool) {
+/// Plays a random history of caller faults and other faults, without those that `is_left_out` selects.
+fn random_history(scenarios: &mut Scenarios, seed: u64, is_left_out: impl Fn(&JobFault) -> bool) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut system = system(seed);
     load(&mut system, 5_000);
@@ -234,7 +238,7 @@
         plan(&mut system, *at, *fault);
     }
     system.run_until(millis(22_000));
-    plays.note(format!("seed {seed}, {plans:?}"), faults_found(&system));
+    scenarios.record(format!("seed {seed}, {plans:?}"), faults_found(&system));
 }
 
 fn random_histories(is_left_out: impl Fn(&JobFault) -> bool) {
@@ -244,11 +248,11 @@
         .unwrap_or(CI_HISTORIES);
     let first = std::env::var("MASTKNOT_FIRST_HISTORY").ok();
     let first: u64 = first.and_then(|text| text.parse().ok()).unwrap_or(0);
-    let mut plays = Plays::default();
+    let mut scenarios = Scenarios::default();
     for seed in first..first + count {
-        random_history(&mut plays, seed, &is_left_out);
+        random_history(&mut scenarios, seed, &is_left_out);
     }
-    plays.assert_all_right();
+    scenarios.assert_none_failed();
 }
 
 #[test]
@@ -256,13 +260,13 @@
     random_histories(|_| false);
 }
 
-/// The same where each entry reaches the sides that the others reach.
+/// Random histories without partitions, so that each entry reaches the sides that the others reach.
 #[test]
-fn copies_in_histories_without_cuts_run_alone() {
+fn duplicates_in_histories_without_partitions_run_alone() {
     random_histories(|fault| matches!(fault, JobFault::PartitionLink { .. }));
 }
 
-/// How many jobs there were, and how many were served.
+/// Number of jobs, and number of jobs that were completed in time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
     jobs: usize,
@@ -270,7 +274,7 @@
 }
 
 impl Served {
-    fn note(&mut self, is_served: bool) {
+    fn record(&mut self, is_served: bool) {
         self.jobs += 1;
         self.served += usize::from(is_served);
     }
@@ -280,20 +284,22 @@
     }
 }
 
-/// Whether the last caller of a job was answered in time, by the stretch and the allowance of the queue.
+/// Returns whether the last caller of a job was answered within the queue's latency objective: 1.6 times the work plus
+/// 60 ms.
 fn is_in_time(system: &JobSystem, job: JobId, work: u64) -> bool {
     let objective = millis(work).mul_f64(1.6) + millis(60);
     let last = system.audit().answers_to(job).last();
     last.is_some_and(|given| given.answer == JobAnswer::Completed && given.after <= objective)
 }
 
-/// One entry of four is killed in the second that begins here, in milliseconds.
+/// Time at which one entry of four is killed, in milliseconds.
 const KILLED_AT: u64 = 3_000;
 
-/// Guards the price of what keeps copies apart: whoever comes again after a kill waits for no one.
+/// Guards against slow duplicates: the protection against concurrent runs must not delay callers that submit again
+/// after a kill.
 #[test]
-fn copies_of_a_killed_entrys_jobs_are_served_in_time() {
-    let mut copies = Served::default();
+fn duplicates_of_a_killed_entrys_jobs_are_served_in_time() {
+    let mut duplicates = Served::default();
     let mut others = Served::default();
     for seed in 0..SEEDS {
         let mut system = system(seed);
@@ -309,13 +315,13 @@
         for (at, job, work) in jobs {
             let is_served = is_in_time(&system, job, work);
             if !(KILLED_AT..KILLED_AT + 1_000).contains(&at) {
-                others.note(is_served);
+                others.record(is_served);
             }
             if system.tries_of(job) > 1 {
-                copies.note(is_served);
+                duplicates.record(is_served);
             }
         }
     }
-    assert!(copies.share() >= 0.95, "{copies:?}");
+    assert!(duplicates.share() >= 0.95, "{duplicates:?}");
     assert!(others.share() >= 0.95, "{others:?}");
 }
--- a/crates/mastknot_virtual/tests/crashing_tasks.rs
+++ b/crates/mastknot_virtual/tests/crashing_tasks.rs
@@ -1,13 +1,10 @@
-//! Tasks that crash the targets on which they start.
+//! Guards against tasks that crash the targets on which they start.
 //!
-//! What callers saw: of a quiet fleet of eleven targets nine were gone within 160 ms, and for the three seconds until they
-//! were back most jobs were refused; when they were back they went again. What happened: one task of one job crashed the
-//! target that started it, 10 ms after the start. Its entry was told that the run was lost, as it is when a lease lapses,
-//! and started it at once at the target that had not failed it yet; so on, until no target was left or its caller's time
-//! was up. The cause: the end of a run did not say that its target had crashed, and an end that says nothing
-//! of the task counted for nothing, however often it came. The evidence: the runs of that task were numbered in one row, so that one
-//! entry had ordered all of them, each 2 to 5 ms after the side had noticed the crash before; that task alone had run for 11 or
-//! 12 ms in all of these crashes.
+//! In a fleet of eleven targets, one task crashed nine within 160 ms. Most jobs were refused for the three seconds
+//! until the targets were back, and then it began again. The task crashed its target 10 ms after the start. Its entry
+//! was informed that the run was lost, as for an expired lease, and started the task at once on a target where it had
+//! not failed yet, until no target or no time was left. The end of a run did not report that the target had crashed,
+//! and ends without information on the task were not counted, however often they came.
 
 use std::time::Duration;
 
@@ -18,17 +15,17 @@
 
 const ENTRIES: usize = 4;
 const SIDES: usize = 11;
-/// Ten tasks of a job of the virtual system fill a target.
+/// Processor time of a target, in thousandths of a processor: enough for ten tasks of the virtual system.
 const TARGET_CPU: u32 = 16_000;
-/// Links stand by then.
+/// Time by which the links are established, in milliseconds.
 const SETTLED_MS: u64 = 1_000;
-/// Jobs of the usual kinds, one each 20 ms: 54 of 100 of what the targets bear.
+/// Number of jobs of the usual kinds. One every 20 ms is 54 percent of what the targets can run.
 const USUAL_JOBS: u64 = 740;
 const BETWEEN_JOBS_MS: u64 = 20;
-/// The last caller has its answer by then.
+/// Time by which the last caller has its answer.
 const END: Duration = Duration::from_secs(25);
 
-/// Random histories without such tasks.
+/// Number of random histories without crashing tasks.
 const HISTORIES: u64 = 200;
 
 const CRASH: TaskCrash = TaskCrash {
@@ -42,7 +39,7 @@
     Duration::from_millis(ms)
 }
 
-/// A fleet at half load, and its jobs.
+/// Returns a fleet at about half load, and its jobs.
 fn fleet(seed: u64) -> (JobSystem, Vec<JobId>) {
     let mut system = JobSystem::new(JobSystemSettings {
         entries: ENTRIES,
@@ -66,7 +63,7 @@
     (system, jobs)
 }
 
-/// Hands in jobs of two such tasks, two seconds and a half apart.
+/// Submits `count` jobs of crashing tasks, 2.5 seconds apart.
 fn submit_crashing(system: &mut JobSystem, count: u64, crash: TaskCrash) -> Vec<JobId> {
     let jobs = (0..count).map(|number| {
         let at = millis(5_003 + 2_500 * number);
@@ -84,7 +81,7 @@
     }
 }
 
-/// How many targets each of these jobs' crashing tasks has crashed.
+/// Returns the number of targets that each task of these jobs has crashed.
 fn crashed_by(system: &JobSystem, jobs: &[JobId]) -> Vec<u32> {
     let tasks = jobs
         .iter()
@@ -95,7 +92,7 @@
 }
 
 #[test]
-fn a_task_that_crashes_each_target_is_not_started_at_one_after_the_other() {
+fn a_task_that_crashes_each_target_is_not_started_on_all_of_them() {
     for seed in 0..20 {
         let (mut system, _) = fleet(seed);
         let crashing = submit_crashing(&mut system, 1, CRASH);
@@ -106,9 +103,10 @@
     }
 }
 
-/// Before it was counted, such a job cost 95 to 198 of 740 others their end, and 8 to 18 targets crashed; now none and three.
+/// Guards against the loss of other jobs to one job of crashing tasks. While crashes were not counted, 95 to 198 of the
+/// 740 other jobs were not completed and 8 to 18 targets crashed; with the count, none and three.
 #[test]
-fn one_job_of_such_tasks_costs_no_other_job_its_end() {
+fn one_job_of_crashing_tasks_prevents_no_other_job() {
     for (seed, after) in (0..5).flat_map(|seed| [2, 10, 60].map(|after| (seed, after))) {
         let (mut system, jobs) = fleet(seed);
         let after = millis(after);
@@ -129,10 +127,11 @@
     }
 }
 
-/// Four such jobs within ten seconds: 438 to 545 of 740 others were completed before, 717 to 730 now; 12 targets are gone
-/// for three seconds each.
+/// Guards against the loss of other jobs to four jobs of crashing tasks within ten seconds. Of the 740 other jobs, 438
+/// to 545 were completed while crashes were not counted, and 717 to 730 with the count, as 12 targets are down for
+/// three seconds each.
 #[test]
-fn four_jobs_of_such_tasks_cost_few_others_their_end() {
+fn four_jobs_of_crashing_tasks_prevent_few_others() {
     for seed in 0..10 {
         let (mut system, jobs) = fleet(seed);
         let crashing = submit_crashing(&mut system, 4, CRASH);
@@ -148,28 +147,31 @@
     }
 }
 
-/// What comes late in a run, or in the dark, tells less; the bound holds all the same.
+/// A crash late in a run, or one that the side does not notice at once, is weaker evidence against a task. The number
+/// of crashed targets is bounded all the same.
 #[test]
-fn crashes_late_in_a_run_or_in_the_dark_are_bounded() {
-    for (seed, is_dark) in (0..5).flat_map(|seed| [false, true].map(|dark| (seed, dark))) {
+fn late_or_silent_crashes_are_bounded() {
+    for (seed, is_silent) in
+        (0..5).flat_map(|seed| [false, true].map(|is_silent| (seed, is_silent)))
+    {
         for after in [10, 150] {
             let (mut system, _) = fleet(seed);
             let crash = TaskCrash {
                 after: millis(after),
-                is_silent: is_dark,
+                is_silent,
                 ..CRASH
             };
             let crashing = submit_crashing(&mut system, 4, crash);
             system.run_until(END);
-            let what = format!("seed {seed}, {crash:?}");
-            assert_eq!(system.violations(), [], "{what}");
+            let context = format!("seed {seed}, {crash:?}");
+            assert_eq!(system.violations(), [], "{context}");
             let crashed = crashed_by(&system, &crashing);
-            assert!(crashed.iter().all(|crashed| *crashed <= 5), "{what}");
+            assert!(crashed.iter().all(|crashed| *crashed <= 5), "{context}");
         }
     }
 }
 
-/// A fault that strikes while crashes are counted: the entry that counts, a side that knows, or the link between them.
+/// Returns faults of an entry that counts crashes, of a side that knows of them, or of a link between the two.
 fn faults_beside() -> Vec<JobFault> {
     let mut faults = Vec::new();
     for entry in 0..2 {
@@ -187,9 +189,9 @@
     faults
 }
 
-/// The job comes again at other entries, which learn from the sides what its tasks have done.
+/// The job is submitted again to other entries, which learn from the sides which targets its tasks have crashed.
 #[test]
-fn the_count_outlives_the_entry_that_counts() {
+fn the_crash_count_survives_the_entry_that_counts() {
     for (seed, fault) in faults_beside().into_iter().enumerate() {
         for delay in [5, 12, 20, 30, 45] {
             let (mut system, _) = fleet(seed as u64);
@@ -197,40 +199,41 @@
             let at = millis(5_003 + delay);
             system.plan(JobFaultPlan { at, fault });
             system.run_until(END);
-            let what = format!("{fault:?} after {delay} ms");
-            assert_eq!(system.violations(), [], "{what}");
-            assert_eq!(system.held_jobs_and_runs(), (0, 0), "{what}");
+            let context = format!("{fault:?} after {delay} ms");
+            assert_eq!(system.violations(), [], "{context}");
+            assert_eq!(system.held_jobs_and_runs(), (0, 0), "{context}");
             let crashed = crashed_by(&system, &crashing);
             assert!(
                 crashed.iter().all(|crashed| *crashed <= 3),
-                "{what}: {crashed:?}"
+                "{context}: {crashed:?}"
             );
         }
     }
 }
 
-/// Crashes of single targets, of racks of three and of a hall's four, each for some seconds, some of them silent.
+/// Plans crashes of single targets, of racks of three and of the four targets of a hall, each for some seconds and some
+/// of them silent.
 fn crash_at_random(system: &mut JobSystem, rng: &mut StdRng) {
     for _ in 0..rng.random_range(2..9) {
         let at = millis(rng.random_range(1_500..15_000));
         let count = [1, 1, 1, 3, 4][rng.random_range(0..5)];
         let first = rng.random_range(0..SIDES);
         let down = millis(rng.random_range(300..4_000));
-        let is_dark = rng.random_bool(0.3);
+        let is_silent = rng.random_bool(0.3);
         for side in first..(first + count).min(SIDES) {
             let fault = JobFault::CrashTarget {
                 side,
                 down,
-                is_silent: is_dark,
+                is_silent,
             };
             system.plan(JobFaultPlan { at, fault });
         }
     }
 }
 
-/// What is known of a task by crashes that others brought about must not answer for it.
+/// Guards against failing a job for crashes that its tasks did not cause.
 #[test]
-fn no_job_fails_because_its_targets_died() {
+fn no_job_fails_because_its_targets_crashed() {
     let mut failed = Vec::new();
     for seed in 0..HISTORIES {
         let (mut system, _) = fleet(seed);
--- a/crates/mastknot_virtual/tests/drained_halls.rs
+++ b/crates/mastknot_virtual/tests/drained_halls.rs
@@ -1,9 +1,9 @@
-//! Halls that operators drain while entries, sides, links and the store have their troubles.
+//! Halls that operators drain while entries, sides, links and the store have faults.
 //!
-//! What is asked: nothing starts in a hall that was drained more than five seconds ago, at a VM that has been well for
-//! some seconds. What holds without trouble: an entry hears of it within a few milliseconds, a side a link's delay
-//! later, and turns starts away itself. An entry that is cut off from the store hears it from any side that another
-//! entry has told, 40 ms later.
+//! The requirement: nothing starts in a hall that was drained more than five seconds ago, on a VM that has been healthy
+//! for some seconds. Without faults an entry learns of a drain within a few milliseconds and a side a link's delay
+//! later; the side then rejects starts itself. An entry that is disconnected from the store learns of the drain 40 ms
+//! later, from any side that another entry has informed.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Histories that CI runs; `MASTKNOT_HISTORIES` asks for more.
+/// Number of histories that CI runs; `MASTKNOT_HISTORIES` sets another number.
 const CI_HISTORIES: u64 = 200;
 const ENTRIES: usize = 4;
 const SIDES: usize = 9;
@@ -35,7 +35,7 @@
     })
 }
 
-/// A job each `each` milliseconds at the entries in turn.
+/// Submits a job every `each` milliseconds, to the entries in turn.
 fn load(system: &mut JobSystem, entries: usize, from: u64, until: u64, each: usize) -> Vec<JobId> {
     let times = (from..until).step_by(each).enumerate();
     times
@@ -43,6 +43,7 @@
         .collect()
 }
 
+/// Returns the number of jobs whose first answer is a refusal.
 fn refused(system: &JobSystem, jobs: &[JobId]) -> usize {
     let is_refused = |job: &&JobId| {
         let first = system.audit().answers_to(**job).first();
@@ -51,7 +52,7 @@
     jobs.iter().filter(is_refused).count()
 }
 
-/// The last start in the drained hall came this long after it was drained.
+/// Returns the time between the drain of a hall and the last start there.
 fn time_in_force(entries: usize, sides: usize) -> Duration {
     let mut system = system(entries, sides, 3);
     load(&mut system, entries, 1_500, 4_500, 1);
@@ -70,12 +71,12 @@
     assert!(large <= ms(1_000), "{large:?}");
 }
 
-/// A third of the room goes and comes back. Two thirds bear the load of 0.6: next to nothing may be refused, and
-/// the return costs neither links nor starts that are turned away.
+/// Guards against refusals and bursts of links or rejected starts when a hall with a third of the capacity is drained
+/// and returned. The other two thirds can run the load of 0.6.
 #[test]
-fn a_hall_goes_and_comes_back_without_a_storm() {
+fn draining_and_returning_a_hall_causes_no_burst() {
     let mut system = system(13, 70, 5);
-    // 70 targets hold 700 tasks; 4 tasks of 80 ms each 0.8 ms are 400 of them.
+    // 70 targets can run 700 tasks; a job of 4 tasks of 80 ms every 0.8 ms keeps 400 running.
     let jobs: Vec<JobId> = (0..7_500u64)
         .map(|place| {
             let at = Duration::from_micros(1_500_000 + place * 800);
@@ -102,17 +103,17 @@
     system.run_until(ms(10_000));
     assert_eq!(system.violations(), []);
     let refused = refused(&system, &jobs);
-    let turned_away = (after.2 - before.2) as f64 / (after.1 - before.1) as f64;
-    let woken = after.0 - before.0;
-    println!("refused {refused}, turned away {turned_away:.3}, woken {woken}");
+    let rejected = (after.2 - before.2) as f64 / (after.1 - before.1) as f64;
+    let activated = after.0 - before.0;
+    println!("refused {refused}, rejected starts {rejected:.3}, activated links {activated}");
     assert!(refused <= jobs.len() / 100, "{refused} refused");
-    assert!(turned_away <= 0.2, "{turned_away:.3} turned away");
-    assert!(woken <= 13 * 24, "{woken} links woken");
+    assert!(rejected <= 0.2, "{rejected:.3} of the starts rejected");
+    assert!(activated <= 13 * 24, "{activated} links activated");
 }
 
-/// Two of four entries can't reach the store: they hear it from sides that the others have told.
+/// Two of four entries can't reach the store and learn of the drain from sides that the other entries have informed.
 #[test]
-fn an_entry_that_is_cut_off_from_the_store_hears_it_over_its_links() {
+fn an_entry_without_the_store_learns_of_a_drain_over_its_links() {
     let mut system = system(ENTRIES, SIDES, 1);
     system.disconnect_from_store(ms(60_000), 0);
     system.disconnect_from_store(ms(60_000), 1);
@@ -129,7 +130,7 @@
     assert_eq!(system.violations(), []);
 }
 
-/// Entries and sides start anew while a hall is drained; nobody who remembers is left.
+/// All entries, sides and targets restart while a hall is drained, so that no process remembers the drain.
 #[test]
 fn after_a_loss_of_all_power_nothing_starts_in_a_hall_that_was_drained_before() {
     let mut system = system(ENTRIES, SIDES, 1);
@@ -152,18 +153,18 @@
         let down = ms(300 + 10 * side as u64);
         plan(JobFault::KillSide { side, down });
         let down = ms(600);
-        let is_dark = true;
+        let is_silent = true;
         plan(JobFault::CrashTarget {
             side,
             down,
-            is_silent: is_dark,
+            is_silent,
         });
     }
 }
 
-/// Jobs of which the last hall is taken away are refused at once, and served again once it is back.
+/// Jobs are refused at once while all halls are drained, and served again once one is returned.
 #[test]
-fn with_all_halls_drained_callers_hear_so_at_once() {
+fn with_all_halls_drained_callers_are_refused_at_once() {
     let mut system = system(ENTRIES, SIDES, 1);
     (0..HALLS).for_each(|hall| system.drain(ms(2_000), hall));
     let without = load(&mut system, ENTRIES, 2_100, 3_000, 20);
@@ -174,12 +175,13 @@
     for job in &without {
         let given = system.audit().answers_to(*job)[0];
         assert!(matches!(given.answer, JobAnswer::Refused { .. }));
-        assert!(given.after <= ms(2), "held for {:?}", given.after);
+        assert!(given.after <= ms(2), "refused after {:?}", given.after);
     }
     assert_eq!(system.audit().completed(&with), with.len());
 }
 
-/// Faults of all kinds around drains and returns of one hall and several, in series and overlapping.
+/// Plays a random history of drains and returns of one or several halls, in series and overlapping, with faults of all
+/// kinds.
 fn history(seed: u64, variant: DrainVariant) -> JobSystem {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut system = system(ENTRIES, SIDES, seed);
@@ -200,7 +202,7 @@
             }
         }
     }
-    // One entry at least reaches the store: the users' bound supposes a way to it.
+    // At least one entry reaches the store: the bound on starts in a drained hall presumes that.
     for entry in 1..ENTRIES {
         if rng.random_bool(0.4) {
             system.disconnect_from_store(ms(rng.random_range(2_000..20_000)), entry);
@@ -244,7 +246,8 @@
     }
 }
 
-fn broken(system: &JobSystem) -> Vec<JobViolation> {
+/// Returns the violations by starts in drained halls.
+fn drained_hall_violations(system: &JobSystem) -> Vec<JobViolation> {
     let drained =
         |violation: &JobViolation| matches!(violation, JobViolation::StartedInDrainedHall { .. });
     let mut violations = system.violations();
@@ -263,19 +266,20 @@
         assert_eq!(violations, [], "seed {seed}");
         longest = longest.max(system.audit().latest_drained_start());
     }
-    println!("the latest start in a drained hall came {longest:?} after");
+    println!("the latest start in a drained hall came {longest:?} after the drain");
 }
 
 #[test]
-fn wrong_ways_are_noticed() {
+fn incorrect_variants_are_detected() {
     for variant in [
         DrainVariant::LastMessageWins,
         DrainVariant::SidesDoNotEnforce,
         DrainVariant::ForgottenOnRestart,
     ] {
         let mut seeds = 0..CI_HISTORIES;
-        let noticed = seeds.find(|seed| !broken(&history(*seed, variant)).is_empty());
-        println!("{variant:?}: noticed by seed {noticed:?}");
-        assert!(noticed.is_some(), "{variant:?} was not noticed");
+        let detected =
+            seeds.find(|seed| !drained_hall_violations(&history(*seed, variant)).is_empty());
+        println!("{variant:?}: detected with seed {detected:?}");
+        assert!(detected.is_some(), "{variant:?} was not detected");
     }
 }
--- a/crates/mastknot_virtual/tests/ended_before_crash.rs
+++ b/crates/mastknot_virtual/tests/ended_before_crash.rs
@@ -1,11 +1,10 @@
-//! Targets that crash just after a task has ended there, before their sides have heard of it.
+//! Guards against failing a job whose targets crashed just after its task had ended, before their sides learned of it.
 //!
-//! What a caller saw: its job was answered `failed`, as one that crashes targets, although its task had done its work. What
-//! happened: the target crashed while the word of the end was on its way, which was lost with the connection. To the side
-//! the task still ran, and so it did to all entries; the next run of the task had the same fate, after about the same
-//! time, as both had done all of the task's work. Two such crashes told that the task had brought them about. The cause: a run counted
-//! as going on until its side heard of its end, however long it was due. The evidence: the worker's own record
-//! of the second run said that it was done some milliseconds before the crash.
+//! The job was answered `failed`, as one that crashes targets, although its task had done its work. The target crashed
+//! while the report of the end was in transit, and the report was lost with the connection. The side and all entries
+//! regarded the task as running. The next run of the task ended in the same way after about the same time, as both runs
+//! had done all of the work, and two such crashes were attributed to the task. A run counted as running until its side
+//! received its end, however long that was overdue.
 
 use std::time::Duration;
 
@@ -15,11 +14,12 @@
 const SUBMITTED: Duration = Duration::from_secs(1);
 const WORK: Duration = Duration::from_millis(40);
 const END: Duration = Duration::from_secs(10);
-/// The word of an end is on its way for a tenth of a millisecond.
-const ON_ITS_WAY: Duration = Duration::from_micros(50);
+/// Time between the end of a task and the crash of its target. The report of an end takes a tenth of a millisecond to
+/// arrive, so it is lost.
+const REPORT_IN_TRANSIT: Duration = Duration::from_micros(50);
 const DOWN: Duration = Duration::from_secs(3);
 
-/// Plays one job of one task, with targets that crash at these times.
+/// Plays a job of one task with crashes of the given sides' targets at the given times.
 fn play(seed: u64, crashes: &[(usize, Duration)]) -> (JobSystem, JobId) {
     let mut system = JobSystem::new(JobSystemSettings {
         entries: 4,
@@ -50,14 +50,17 @@
     }
 }
 
-/// Plays the same job until its target has crashed so often just after its end; each play shows where and when it ends
-/// next.
+/// Plays a job whose target crashes just after the task's end, `times` times. Each scenario determines where and when
+/// the task ends next, and so the next crash.
 fn crash_after_each_end(seed: u64, times: usize) -> (JobSystem, JobId) {
     let mut crashes = Vec::new();
     for _ in 0..times {
         let (system, job) = play(seed, &crashes);
-        let (side, at) = system.audit().last_done(task(job)).expect("it was done");
-        crashes.push((side, at + ON_ITS_WAY));
+        let (side, at) = system
+            .audit()
+            .last_done(task(job))
+            .expect("the task was done");
+        crashes.push((side, at + REPORT_IN_TRANSIT));
     }
     play(seed, &crashes)
 }
@@ -73,7 +76,7 @@
         let (system, job) = crash_after_each_end(seed, 2);
         assert_eq!(system.violations(), [], "seed {seed}");
         let starts = system.audit().starts_of(task(job));
-        assert_eq!(starts, 3, "seed {seed}: both words were lost");
+        assert_eq!(starts, 3, "seed {seed}: the reports of both ends were lost");
         let answers = answers(&system, job);
         assert_eq!(answers, [JobAnswer::Completed], "seed {seed}");
     }
--- a/crates/mastknot_virtual/tests/fault_matrix.rs
+++ b/crates/mastknot_virtual/tests/fault_matrix.rs
@@ -1,8 +1,8 @@
-//! Every fault at every step, then pairs of faults: the real cores, small fakes, virtual time.
+//! Every fault at every step, then pairs of faults, with the real cores, small fakes and virtual time.
 //!
-//! After each cell every promise is checked: no task started twice, no partial or foreign answer,
-//! no false "not run", one reply to each caller whose entry lived, no configuration reverted, and
-//! the system does its work again once the faults are over. `docs/FAULTS.md` is the table.
+//! After each cell all guarantees are checked: no task starts twice, no answer is partial or belongs to another
+//! request, no reply reports "not run" falsely, each caller whose entry survived gets one reply, no configuration is
+//! reverted, and the system serves requests again once the faults are over. `docs/FAULTS.md` lists the results.
 
 mod common;
 
@@ -18,14 +18,14 @@
     FaultRule, MessageFault, MessageKind, ProcessFault, Trigger, VirtualSystem,
 };
 
-/// How long a process is paused: longer than any authority or credit lives.
+/// Duration of a pause of a process: longer than any authority or credit is valid.
 const PAUSE: Duration = Duration::from_secs(4);
-/// How long the store is down or slow, and halls are cut.
+/// Duration of faults of the store and of partitions between halls.
 const OUTAGE: Duration = Duration::from_secs(4);
-/// Callers' deadline.
+/// Deadline of the callers.
 const DEADLINE: Duration = Duration::from_secs(10);
 
-/// A step of the system's work, at which a fault strikes.
+/// Step in the processing of requests and configurations at which a fault happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Submit,
@@ -62,7 +62,7 @@
 ];
 
 impl Step {
-    /// The message at which the step is taken.
+    /// Returns the kind of message that marks the step.
     fn kind(self) -> MessageKind {
         match self {
             Self::Submit => MessageKind::Submit,
@@ -82,7 +82,7 @@
     }
 }
 
-/// What goes wrong.
+/// Fault that a cell of the matrix injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Fault {
     MessageLost,
@@ -128,13 +128,9 @@
     Fault::TargetLosesAnswers,
 ];
 
-fn message_fault(system: &mut VirtualSystem, kind: MessageKind, fate: MessageFault) {
+fn message_fault(system: &mut VirtualSystem, kind: MessageKind, fault: MessageFault) {
     let count = 2;
-    system.add_rule(FaultRule {
-        kind,
-        fault: fate,
-        count,
-    });
+    system.add_rule(FaultRule { kind, fault, count });
 }
 
 fn process_fault(
@@ -151,7 +147,7 @@
     });
 }
 
-/// Arms a fault; faults that last are ended by [`end`].
+/// Injects a fault at a step. [`end`] ends the faults that last.
 fn begin(system: &mut VirtualSystem, step: Step, fault: Fault) {
     let kind = step.kind();
     let restart = ProcessFault::Restarts(Duration::from_secs(2));
@@ -197,6 +193,7 @@
     }
 }
 
+/// Ends a fault that lasts.
 fn end(system: &mut VirtualSystem, fault: Fault) {
     match fault {
         Fault::StoreDown => system.store.faults.is_down = false,
@@ -211,7 +208,7 @@
     }
 }
 
-/// What the callers of one cell saw.
+/// Numbers of replies that the callers of one cell received, by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
     complete: u32,
@@ -222,7 +219,8 @@
 }
 
 impl Seen {
-    fn words(self) -> String {
+    /// Returns a text with the outcomes that occurred and their numbers.
+    fn to_text(self) -> String {
         let parts = [
             (self.complete, "complete"),
             (self.failed, "failed"),
@@ -238,13 +236,13 @@
     }
 }
 
-/// Work that passes through every step, with resubmissions through another entry.
+/// Submits work that passes through every step, with resubmissions through another entry.
 fn load(system: &mut VirtualSystem, from: u64) {
     for index in 0..24_u64 {
         let at = from + index * 80_000;
         let entry = (index % 3) as usize;
         let mut key = system.new_key();
-        // Keys are made when they are sent.
+        // A key carries the time at which its caller sends the submission.
         let wall = system.wall_at(at);
         key = mastknot_core::types::SubmissionKey::new(wall, u128::from_be_bytes(key.to_bytes()));
         let submission = match index % 3 {
@@ -260,7 +258,11 @@
     }
 }
 
-/// Runs one cell; the result is what callers saw, or what was broken.
+/// Runs one cell and returns the outcomes that callers saw.
+///
+/// # Errors
+///
+/// Returns a description of the guarantee that was violated.
 fn run_cell(step: Step, faults: &[Fault], seed: u64) -> Result<Seen, String> {
     let mut system = system(3, 4, 2, seed);
     let from = system.now();
@@ -287,7 +289,7 @@
 }
 
 fn check(system: &mut VirtualSystem) -> Result<Seen, String> {
-    let seen = what_callers_saw(system)?;
+    let seen = count_replies(system)?;
     check_configuration(system)?;
     check_recovery(system)?;
     if !system.audit.violations().is_empty() {
@@ -296,10 +298,10 @@
     Ok(seen)
 }
 
-fn what_callers_saw(system: &VirtualSystem) -> Result<Seen, String> {
+fn count_replies(system: &VirtualSystem) -> Result<Seen, String> {
     let mut seen = Seen::default();
     for submitted in system.requests() {
-        let lived = submitted.sent_to.is_some_and(|(entry, run)| {
+        let alive = submitted.sent_to.is_some_and(|(entry, run)| {
             system.entry_incarnation(entry) == run && system.entry(entry).is_some()
         });
         match &submitted.reply {
@@ -308,14 +310,14 @@
             Some((_, Reply::Refused(refusal))) if refusal.ran == Ran::NotRun => seen.not_run += 1,
             Some((_, Reply::Refused(_))) => seen.unknown += 1,
             Some((_, Reply::Pending { .. })) => return Err("a waiter got `pending`".to_owned()),
-            None if lived => return Err(format!("no answer: {:?}", submitted.submission.key)),
+            None if alive => return Err(format!("no answer: {:?}", submitted.submission.key)),
             None => seen.broken += 1,
         }
     }
     Ok(seen)
 }
 
-/// Every entry that lives answers new work completely, once the faults are over.
+/// Checks that every running entry answers new requests completely once the faults are over.
 fn check_recovery(system: &mut VirtualSystem) -> Result<(), String> {
     let live: Vec<usize> = (0..system.entry_count())
         .filter(|entry| system.entry(*entry).is_some())
@@ -338,7 +340,7 @@
     }
 }
 
-/// Every live node has the newest configuration in force.
+/// Checks that every running node has the newest configuration in force.
 fn check_configuration(system: &VirtualSystem) -> Result<(), String> {
     let newest = system.store.list(0).version;
     let entries = (0..system.entry_count()).filter_map(|entry| system.entry(entry));
@@ -358,7 +360,7 @@
     Err(format!("not in force (newest {newest}): {late:?}"))
 }
 
-/// Runs cells on all processors; the results come in the order of the cells.
+/// Runs cells on all processors and returns the results in the order of the cells.
 fn run_cells(cells: &[(Step, Vec<Fault>)]) -> Vec<Result<Seen, String>> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let chunk = cells.len().div_ceil(threads).max(1);
@@ -407,7 +409,10 @@
     let mut table =
         String::from("| step | fault | what the 48 callers saw |\n| --- | --- | --- |\n");
     for ((step, faults), result) in cells.iter().zip(&results) {
-        let seen = result.as_ref().map(|seen| seen.words()).unwrap_or_default();
+        let seen = result
+            .as_ref()
+            .map(|seen| seen.to_text())
+            .unwrap_or_default();
         let _ = writeln!(table, "| {step:?} | {:?} | {seen} |", faults[0]);
     }
     expect_file!["../../../docs/FAULTS-single.md"].assert_eq(&table);
--- a/crates/mastknot_virtual/tests/found_failures.rs
+++ b/crates/mastknot_virtual/tests/found_failures.rs
@@ -1,4 +1,4 @@
-//! One test for each failure that the matrix, the histories or a run has found.
+//! One test for each failure that the fault matrix, the random histories or a run has found.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use mastknot_core::message::{Ran, RefusalReason, Reply};
 use mastknot_virtual::{FaultRule, MessageFault, MessageKind};
 
-/// With the store slow and the authority lapsed, the next tick was always "now": a busy loop.
+/// Guards against a busy loop: with a slow store and an expired authority, the next tick was always due immediately.
 #[test]
-fn a_lapsed_authority_does_not_spin() {
+fn an_expired_authority_causes_no_busy_loop() {
     let mut system = system(2, 1, 2, 1);
     system.store.faults.extra_delay = Duration::from_secs(5);
     system.partition("h1", "h2");
@@ -27,9 +27,9 @@
     );
 }
 
-/// A forwarded request whose holder never says anything left its caller without an answer.
+/// Guards against a caller without an answer when the owner of a forwarded request never replies.
 #[test]
-fn a_lost_forward_ends_in_an_honest_unknown() {
+fn a_lost_forward_is_answered_as_unknown() {
     let mut system = system(2, 1, 2, 2);
     let key = key_held_by(&mut system, 1);
     system.add_rule(FaultRule {
@@ -49,9 +49,9 @@
     assert_kept(&system);
 }
 
-/// An entry that could not reach a key's holder said "not run" of a key that had run before.
+/// Guards against a false "not run" from an entry that can't reach the owner of a key that has run before.
 #[test]
-fn only_a_holder_with_authority_says_not_run() {
+fn only_an_owner_with_authority_replies_not_run() {
     let mut system = system(3, 2, 4, 3);
     let key = key_held_by(&mut system, 1);
     let first = system.submit(1, job(key, 2, 50));
@@ -67,9 +67,9 @@
     assert_kept(&system);
 }
 
-/// With one entry, credits that lapsed were forgotten and their slots never asked for again.
+/// Guards against slots that stay unused: with one entry, expired credits were forgotten and never requested again.
 #[test]
-fn lapsed_credits_are_asked_for_again() {
+fn expired_credits_are_requested_again() {
     let mut system = system(1, 2, 8, 4);
     system.run_for(Duration::from_secs(60));
     let key = system.new_key();
@@ -82,9 +82,9 @@
     assert_kept(&system);
 }
 
-/// A resubmission after the holder's death gets its answer rebuilt from what sides remember.
+/// A resubmission after the owner's failure is answered from the results that sides remember.
 #[test]
-fn a_lost_holders_answer_is_rebuilt_from_the_sides() {
+fn a_lost_owners_answer_is_rebuilt_from_the_sides() {
     let mut system = system(2, 2, 4, 5);
     let key = key_held_by(&mut system, 1);
     system.submit(1, job(key, 3, 50));
@@ -102,7 +102,7 @@
     assert_kept(&system);
 }
 
-/// A planned stop hands the ledger over: no resubmission runs again or is refused.
+/// A planned stop hands the ledger over, so that no resubmission runs again or is refused.
 #[test]
 fn a_planned_stop_refuses_nothing_and_hands_its_answers_over() {
     let mut system = system(2, 2, 4, 6);
@@ -112,20 +112,23 @@
     system.stop_entry(1);
     system.run_for(Duration::from_secs(3));
     assert!(system.has_stopped(1));
-    assert!(is_complete(system.reply(first)), "nothing in flight is cut");
+    assert!(
+        is_complete(system.reply(first)),
+        "jobs in flight are completed"
+    );
     let again = system.submit(0, job(key, 3, 400));
-    let fresh_key = system.new_key();
-    let fresh = system.submit(0, job(fresh_key, 3, 50));
+    let new_key = system.new_key();
+    let new = system.submit(0, job(new_key, 3, 50));
     system.run_for(Duration::from_secs(2));
     assert_eq!(system.reply(first), system.reply(again));
-    assert!(is_complete(system.reply(fresh)));
+    assert!(is_complete(system.reply(new)));
     assert_eq!(system.audit.total_starts(), 6);
     assert_kept(&system);
 }
 
-/// A resubmission was asked of an earlier holder that was paused, until its deadline.
+/// Guards against a resubmission that waits until its deadline for an answer of an earlier owner that is paused.
 #[test]
-fn a_paused_earlier_holder_is_not_waited_for() {
+fn a_paused_earlier_owner_is_not_waited_for() {
     let mut system = system(3, 2, 4, 7);
     let key = key_held_by(&mut system, 1);
     let first = system.submit(1, job(key, 3, 50));
--- a/crates/mastknot_virtual/tests/holds_of_others.rs
+++ b/crates/mastknot_virtual/tests/holds_of_others.rs
@@ -1,4 +1,4 @@
-//! Runs of entries with leases of different ages on one target: its hold is one for all of them.
+//! Runs of several entries, with leases of different ages, on one target that has a single hold for all of them.
 
 use std::time::Duration;
 
@@ -21,21 +21,22 @@
     })
 }
 
-/// One entry's runs keep the hold young; the other one starts tasks under an old lease, and the side stands still or dies.
-fn play(cut_ms: u64, start_ms: u64, seed: u64, end: JobFault) -> JobSystem {
+/// Plays an entry whose runs renew the target's hold while another entry starts tasks under an old lease, until the
+/// fault `end` of the side.
+fn play(partition_ms: u64, start_ms: u64, seed: u64, end: JobFault) -> JobSystem {
     let mut system = system(seed);
-    let cut = JobFault::PartitionLink {
+    let partition = JobFault::PartitionLink {
         entry: 1,
         side: 0,
         direction: Direction::ToEntry,
-        time: millis(cut_ms),
+        time: millis(partition_ms),
     };
-    let cut_at = 2_000 + seed * 7;
-    let start_at = cut_at + start_ms;
+    let partition_at = 2_000 + seed * 7;
+    let start_at = partition_at + start_ms;
     system.submit(millis(1_500), 0, 4, millis(3_000));
     system.plan(JobFaultPlan {
-        at: millis(cut_at),
-        fault: cut,
+        at: millis(partition_at),
+        fault: partition,
     });
     system.submit(millis(start_at), 1, 6, millis(1_500));
     system.plan(JobFaultPlan {
@@ -46,13 +47,14 @@
     system
 }
 
-fn ran_twice(system: &JobSystem) -> usize {
+fn count_concurrent_runs(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
-    twice.count()
+    let concurrent =
+        violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
+    concurrent.count()
 }
 
-/// A run under an old lease went on for as long as another entry's younger lease had made the target hold.
+/// Guards against a run under an old lease that goes on until the end of the hold for another entry's younger lease.
 #[test]
 fn a_start_under_an_old_lease_is_not_held_by_a_younger_one() {
     let (side, down, time) = (0, millis(4_000), millis(4_000));
@@ -64,7 +66,7 @@
     for end in ends {
         for start_ms in [100, 200, 250, 300, 330] {
             let counts: Vec<usize> = (0..12)
-                .map(|seed| ran_twice(&play(600, start_ms, seed, end)))
+                .map(|seed| count_concurrent_runs(&play(600, start_ms, seed, end)))
                 .collect();
             assert_eq!(counts, [0; 12], "{end:?}, start after {start_ms} ms");
         }
--- a/crates/mastknot_virtual/tests/job_faults.rs
+++ b/crates/mastknot_virtual/tests/job_faults.rs
@@ -1,4 +1,4 @@
-//! Sized tasks under leases: each fault at each step, and random histories of faults.
+//! Sized tasks under leases: each fault at each step, pairs of faults, and random histories of faults.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const ENTRIES: usize = 2;
 const SIDES: usize = 3;
-/// Histories that CI runs; `MASTKNOT_HISTORIES` asks for more.
+/// Number of histories that CI runs; `MASTKNOT_HISTORIES` sets another number.
 const CI_HISTORIES: u64 = 150;
 
 fn millis(ms: u64) -> Duration {
@@ -29,7 +29,7 @@
     })
 }
 
-/// Jobs of three lengths, one each 80 ms at both entries in turn: half of what the targets bear.
+/// Submits jobs of three lengths, one every 80 ms, to both entries in turn: half of what the targets can run.
 fn load(system: &mut JobSystem, from: u64, until: u64) -> usize {
     let mut count = 0;
     let mut at = from;
@@ -46,11 +46,12 @@
     count
 }
 
-fn assert_kept(system: &JobSystem, what: &str) {
+/// Panics if a guarantee was violated or if an entry still holds jobs or runs.
+fn assert_kept(system: &JobSystem, context: &str) {
     let violations = system.violations();
     assert!(
         violations.is_empty(),
-        "{what}: {:?}",
+        "{context}: {:?}",
         &violations[..violations.len().min(3)]
     );
     let held = || {
@@ -61,7 +62,7 @@
     assert_eq!(
         system.held_jobs_and_runs(),
         (0, 0),
-        "{what}: left over in {}",
+        "{context}: left over in {}",
         held()
     );
 }
@@ -79,10 +80,11 @@
     assert_eq!(
         system.free_cpu(),
         vec![16_000; SIDES],
-        "all room is free again"
+        "all capacity is free again"
     );
 }
 
+/// Returns named faults for the tests that play each of them.
 fn faults() -> Vec<(&'static str, JobFault)> {
     let mut faults = vec![
         (
@@ -93,21 +95,21 @@
             },
         ),
         (
-            "entry gone for long",
+            "entry down for long",
             JobFault::KillEntry {
                 entry: 0,
                 down: millis(4_000),
             },
         ),
         (
-            "entry frozen",
+            "entry paused",
             JobFault::PauseEntry {
                 entry: 0,
                 time: millis(3_000),
             },
         ),
         (
-            "entry frozen for the length of a lease",
+            "entry paused for the length of a lease",
             JobFault::PauseEntry {
                 entry: 0,
                 time: millis(360),
@@ -149,21 +151,21 @@
             },
         ),
         (
-            "side gone for long",
+            "side down for long",
             JobFault::KillSide {
                 side: 0,
                 down: millis(3_000),
             },
         ),
         (
-            "side frozen",
+            "side paused",
             JobFault::PauseSide {
                 side: 0,
                 time: millis(3_000),
             },
         ),
         (
-            "side frozen for the length of a lease",
+            "side paused for the length of a lease",
             JobFault::PauseSide {
                 side: 0,
                 time: millis(360),
@@ -171,7 +173,7 @@
         ),
         ("link reset", JobFault::ResetLink { entry: 0, side: 0 }),
         (
-            "link silent for good",
+            "link silent permanently",
             JobFault::SilenceLink { entry: 0, side: 0 },
         ),
         (
@@ -183,7 +185,7 @@
             },
         ),
         (
-            "target dark",
+            "target crashed silently",
             JobFault::CrashTarget {
                 side: 0,
                 down: millis(2_500),
@@ -199,10 +201,10 @@
                 direction,
                 time: millis(time),
             };
-            faults.push(("link cut", fault));
+            faults.push(("link partitioned", fault));
         }
     }
-    for mood in [
+    for behaviour in [
         TargetBehaviour::FailsAll,
         TargetBehaviour::Stalls,
         TargetBehaviour::Slow(8),
@@ -210,10 +212,10 @@
         TargetBehaviour::LosesAnswers(3),
     ] {
         faults.push((
-            "target in a mood",
+            "misbehaving target",
             JobFault::Misbehave {
                 side: 0,
-                behaviour: mood,
+                behaviour,
                 time: millis(4_000),
             },
         ));
@@ -221,7 +223,7 @@
     faults
 }
 
-/// The promises that cost nothing under any fault.
+/// Plays a load with the given faults.
 fn play(plans: &[JobFaultPlan], seed: u64) -> JobSystem {
     let mut system = system(seed);
     load(&mut system, 200, 2_600);
@@ -241,8 +243,8 @@
     }
 }
 
-/// Callers leave while their jobs run, or before: whatever fails then, an entry, a side, both, an order that is carried
-/// out seconds late, nothing of the jobs goes on for longer than the leases.
+/// Guards against runs that go on for longer than the leases after their callers have left, while the jobs run or
+/// before, when an entry, a side or both fail or an order is carried out seconds late.
 #[test]
 fn nothing_runs_on_after_its_callers_have_left() {
     let gone = [
@@ -304,7 +306,7 @@
 }
 
 #[test]
-fn a_target_that_fails_all_it_starts_does_not_draw_the_work() {
+fn a_target_that_fails_all_starts_does_not_attract_the_work() {
     let mut system = system(3);
     let jobs = load(&mut system, 200, 6_000);
     let fault = JobFault::Misbehave {
@@ -328,7 +330,7 @@
 }
 
 #[test]
-fn a_target_that_stands_still_costs_little() {
+fn a_stalling_target_costs_little() {
     let mut system = system(4);
     let jobs = load(&mut system, 200, 6_000);
     let fault = JobFault::Misbehave {
@@ -341,7 +343,7 @@
         fault,
     });
     system.run_until(millis(12_000));
-    assert_kept(&system, "target that stands still");
+    assert_kept(&system, "stalling target");
     let completed = system
         .audit()
         .count(|answer| *answer == JobAnswer::Completed);
@@ -351,7 +353,7 @@
     );
 }
 
-/// Targets that shrink and grow beside other faults, some while their side stands still.
+/// Plays targets whose capacity shrinks and grows beside other faults, some of them while the side is paused.
 fn play_resizes(seed: u64, prepare: impl Fn(&mut JobSystem)) -> JobSystem {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut system = system(seed);
@@ -376,17 +378,20 @@
 }
 
 #[test]
-fn room_that_shrinks_and_grows_breaks_nothing() {
+fn capacity_that_shrinks_and_grows_breaks_nothing() {
     for seed in 0..100 {
         let system = play_resizes(seed, |_| {});
         assert_kept(&system, &format!("seed {seed}"));
         let system = play_resizes(seed, JobSystem::disable_target_capacity_checks);
-        assert_kept(&system, &format!("seed {seed}, unguarded"));
+        assert_kept(
+            &system,
+            &format!("seed {seed}, without capacity checks of the targets"),
+        );
     }
 }
 
 #[test]
-fn sides_that_go_by_the_first_room_would_overfill_targets() {
+fn sides_that_ignore_resizes_overfill_targets() {
     let is_broken = |seed: &u64| {
         let system = play_resizes(*seed, |system| {
             system.disable_target_capacity_checks();
@@ -395,14 +400,14 @@
         !system.violations().is_empty()
     };
     let broken = (0..100).filter(is_broken).count();
-    assert!(broken > 0, "the audit does not see it");
+    assert!(broken > 0, "the audit does not detect the violations");
 }
 
-/// Entries and sides whose VMs are suspended, in turn and both at once.
-fn play_suspensions(seed: u64, has_steady_clocks: bool) -> JobSystem {
+/// Plays entries and sides whose VMs are suspended, one at a time and both at once.
+fn play_suspensions(seed: u64, has_stopped_clocks: bool) -> JobSystem {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut system = system(seed);
-    if has_steady_clocks {
+    if has_stopped_clocks {
         system.use_clocks_stopped_by_suspension();
     }
     load(&mut system, 200, 4_600);
@@ -435,14 +440,17 @@
     }
 }
 
-/// Processes that read a clock that stands still take leases for young that are long over.
+/// With a clock that stops during a suspension, a process regards leases as valid that expired long ago.
 #[test]
-fn steady_clocks_would_break_promises_on_suspended_machines() {
+fn clocks_stopped_by_suspension_break_guarantees() {
     let broken = (0..SUSPENSIONS).filter(|seed| {
         let system = play_suspensions(*seed, true);
         !system.violations().is_empty()
     });
-    assert!(broken.count() > 0, "the audit does not see it");
+    assert!(
+        broken.count() > 0,
+        "the audit does not detect the violations"
+    );
 }
 
 fn random_fault(rng: &mut StdRng) -> JobFault {
@@ -472,17 +480,17 @@
             is_silent: rng.random_bool(0.5),
         },
         _ => {
-            let moods = [
+            let behaviours = [
                 TargetBehaviour::FailsAll,
                 TargetBehaviour::Stalls,
                 TargetBehaviour::Slow(7),
                 TargetBehaviour::AppliesLate(4),
                 TargetBehaviour::LosesAnswers(4),
             ];
-            let mood = moods[rng.random_range(0..moods.len())];
+            let behaviour = behaviours[rng.random_range(0..behaviours.len())];
             JobFault::Misbehave {
                 side,
-                behaviour: mood,
+                behaviour,
                 time,
             }
         }
--- a/crates/mastknot_virtual/tests/job_overload.rs
+++ b/crates/mastknot_virtual/tests/job_overload.rs
@@ -1,4 +1,4 @@
-//! Jobs beyond what the targets bear: who is served, who is refused how soon, and what comes after.
+//! Jobs beyond what the targets can run: which of them are served, how soon the others are refused, and the recovery.
 
 use std::time::Duration;
 
@@ -9,13 +9,14 @@
 
 const ENTRIES: usize = 3;
 const SIDES: usize = 4;
-/// Ten tasks of a job of the virtual system fill a target.
+/// Processor time of a target, in thousandths of a processor: enough for ten tasks of the virtual system.
 const TARGET_CPU: u32 = 16_000;
+/// Number of tasks that all targets run at once.
 const SLOTS: u64 = 10 * SIDES as u64;
-/// The length of an overload, in milliseconds.
+/// Duration of an overload, in milliseconds.
 const LOADED_MS: u64 = 6_000;
 
-/// A kind of job: how many tasks, and how long each takes.
+/// Kind of job: number of tasks, and work of each in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Kind {
     tasks: u16,
@@ -38,11 +39,12 @@
 ];
 
 impl Kind {
-    /// The objective of the virtual system's queue.
+    /// Returns the latency objective of the virtual system's queue.
     fn objective(self) -> Duration {
         Duration::from_millis(self.work_ms).mul_f64(1.6) + Duration::from_millis(60)
     }
 
+    /// Returns the work of all tasks of a job, in milliseconds of a slot.
     fn slot_ms(self) -> u64 {
         u64::from(self.tasks) * self.work_ms
     }
@@ -65,7 +67,7 @@
     })
 }
 
-/// Hands in jobs of all kinds at random moments, at `load` times what the targets bear.
+/// Submits jobs of all kinds at random times, at `load` times what the targets can run.
 fn submit_load(
     system: &mut JobSystem,
     rng: &mut StdRng,
@@ -98,7 +100,7 @@
     given.answer == JobAnswer::Completed && given.after <= job.kind.objective()
 }
 
-/// Links stand after this time.
+/// Time by which the links are established, in milliseconds.
 const SETTLED_MS: u64 = 1_000;
 
 fn play(seed: u64, load: f64) -> (JobSystem, Vec<Submitted>) {
@@ -118,11 +120,11 @@
 
 const LOADS: [f64; 5] = [0.5, 1.0, 1.5, 2.5, 4.0];
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// A little more than a caller's way there and back, and the timers.
+/// Tolerance for the round trip of a caller and for the timers.
 const SLACK: Duration = Duration::from_millis(5);
 
 #[test]
-fn a_refusal_comes_within_a_quarter_of_the_objective_and_no_job_is_held_without_hope() {
+fn refusals_come_within_a_quarter_of_the_objective_and_timeouts_within_three_objectives() {
     for (seed, load) in SEEDS
         .into_iter()
         .flat_map(|seed| LOADS.map(|load| (seed, load)))
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn what_the_targets_bear_is_served_in_time_whatever_comes() {
+fn what_the_targets_can_run_is_served_in_time_at_any_load() {
     for (seed, load) in SEEDS
         .into_iter()
         .flat_map(|seed| LOADS.map(|load| (seed, load)))
@@ -154,8 +156,8 @@
         let served = jobs.iter().filter(|job| is_in_time(&system, job));
         let served: u64 = served.map(|job| job.kind.slot_ms()).sum();
         let offered: u64 = jobs.iter().map(|job| job.kind.slot_ms()).sum();
-        let borne = (SLOTS * LOADED_MS).min(offered);
-        let share = served as f64 / borne as f64;
+        let feasible = (SLOTS * LOADED_MS).min(offered);
+        let share = served as f64 / feasible as f64;
         assert!(share >= 0.8, "seed {seed}, load {load}: {share:.3}");
     }
 }
@@ -177,7 +179,7 @@
 }
 
 #[test]
-fn a_second_after_a_burst_all_is_as_before() {
+fn a_second_after_a_burst_all_jobs_are_in_time() {
     for seed in SEEDS {
         let mut system = system(seed);
         let mut rng = StdRng::seed_from_u64(seed);
--- a/crates/mastknot_virtual/tests/large_fleet.rs
+++ b/crates/mastknot_virtual/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Many entries and many sides whose targets hold four tasks each.
+//! Many entries and many sides whose targets run four tasks at once each.
 
 use std::time::Duration;
 
@@ -7,18 +7,19 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Four tasks of a job of the virtual system and a fifth of another fill a target.
+/// Processor time of a target, in thousandths of a processor: enough for 4.2 tasks of the virtual system.
 const TARGET_CPU: u32 = 6_700;
+/// Number of tasks that a target runs at once.
 const TASKS_PER_TARGET: f64 = 4.0;
-/// Links stand and are chosen by then; the last are dialed after three seconds.
+/// Time by which the links are established and selected; the last ones are dialed after three seconds.
 const SETTLED: Duration = Duration::from_secs(5);
-/// What an entry of 55 uses of 240 links as a rule: four entries a side. In a crowd it is twice that, and the few that
-/// have just been made or woken.
+/// Number of links that one of 55 entries normally uses of its 240: four entries per side. In a burst it is twice that
+/// and the few links that have just been opened or activated.
 const USUAL_LINKS: usize = 18;
-/// The last job is answered within this.
+/// Time after the end of the load within which the last job is answered.
 const END: Duration = Duration::from_secs(4);
 
-/// Jobs of one kind: tasks, the usual time of each in milliseconds, and how many come for 100 others.
+/// Kind of job: number of tasks, usual work of each in milliseconds, and share of all jobs in percent.
 struct Kind {
     tasks: u16,
     work_ms: f64,
@@ -43,7 +44,7 @@
     },
 ];
 
-/// A fleet under a load.
+/// Fleet under a load.
 struct Fleet {
     system: JobSystem,
     loaded: Duration,
@@ -51,12 +52,12 @@
 }
 
 impl Fleet {
-    /// Plays jobs of all kinds at random moments and entries, at `load` times what the targets bear.
+    /// Plays jobs of all kinds at random times and entries, at `load` times what the targets can run.
     fn play(entries: usize, sides: usize, load: f64, loaded: Duration) -> Self {
         Self::play_with_links(entries, sides, None, load, loaded)
     }
 
-    /// The same, with a number of links that each entry uses as a rule.
+    /// Plays the same load with the given number of links that each entry normally uses.
     fn play_with_links(
         entries: usize,
         sides: usize,
@@ -69,7 +70,7 @@
         fleet
     }
 
-    /// A fleet whose processes have just started, with all jobs handed in from `begin` on.
+    /// Returns a fleet whose processes have just started, with jobs planned from `begin` on.
     fn load(
         entries: usize,
         sides: usize,
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Returns the share of jobs whose first answer is selected.
     fn share_of(&self, is_wanted: impl Fn(JobAnswer) -> bool) -> f64 {
         let firsts = self.jobs.iter().filter_map(|id| {
             let answers = self.system.audit().answers_to(*id);
@@ -116,7 +118,7 @@
         wanted.count() as f64 / self.jobs.len() as f64
     }
 
-    /// Messages between entries and sides for each run that did its work.
+    /// Returns the number of messages between entries and sides per successful run.
     fn messages_per_run(&self) -> f64 {
         let until = SETTLED + self.loaded;
         let messages = self.system.link_record().messages(SETTLED, until);
@@ -126,6 +128,7 @@
     }
 }
 
+/// Returns a random kind, drawn by weight; `weights` is the sum of all weights.
 fn pick_kind(rng: &mut StdRng, weights: f64) -> &'static Kind {
     let mut left = rng.random_range(0.0..weights);
     let found = KINDS.iter().find(|kind| {
@@ -135,8 +138,9 @@
     found.unwrap_or(&KINDS[0])
 }
 
-/// What an entry says to a side is paid for by 13,200 pairs here and by 44 on a small fleet. With 64 links in use
-/// at each entry and a word a second on the others it was 34.3 messages a run, 10.2 on the small fleet.
+/// Guards against messages that grow with the pairs of entries and sides: 13,200 on the large fleet against 68 on the
+/// small one. With 64 links in use at each entry and a message a second on the others, a run cost 34.3 messages,
+/// against 10.2 on the small fleet.
 #[test]
 fn a_run_costs_about_as_many_messages_as_on_a_small_fleet() {
     let small = Fleet::play(4, 17, 0.65, Duration::from_secs(2));
@@ -160,8 +164,9 @@
     }
 }
 
-/// Once all entries had waiting jobs, every target stood empty in turn for entries on standby: 53 of 100 jobs were
-/// refused here before, with nine tenths of all room free.
+/// Guards against capacity reserved for links on standby. Once all entries had waiting jobs, every target was kept
+/// empty in turn for entries whose links were on standby, and 53 of 100 jobs were refused with nine tenths of all
+/// capacity free.
 #[test]
 fn links_on_standby_keep_no_room_from_others() {
     let loaded = Duration::from_secs(3);
@@ -170,10 +175,10 @@
     assert!(refused <= 0.01, "{refused:.3} refused");
 }
 
-/// Users saw a second of refusals and late answers after all power had been lost for a moment: callers of the outage
-/// come together with the usual ones, 2.4 times as many. Links that were made while tasks waited stayed in use, all 240
-/// of each entry for five seconds, and every target was raced for by 55 entries (the day's logs: 400 to 900 of 1,000
-/// starts turned away in each tenth of a second, 40 to 130 of 500 before the loss; here 0.377 in all).
+/// Guards against a second of refusals and late answers after a short loss of all power, when the callers of the outage
+/// come together with the usual ones, 2.4 times as many. Links that were opened while tasks waited stayed in use, all
+/// 240 of each entry for five seconds, and 55 entries competed for every target: in each tenth of a second 400 to 900
+/// of 1,000 starts were rejected, against 40 to 130 of 500 before the loss, and a share of 0.377 in this scenario.
 #[test]
 fn a_start_of_all_processes_in_a_crowd_uses_no_more_links_than_any_crowd() {
     let begin = Duration::from_millis(100);
@@ -182,20 +187,21 @@
     let most = fleet.system.active_links().into_iter().max().unwrap();
     let counters = fleet.system.counters();
     let starts: u64 = counters.iter().map(|counters| counters.starts).sum();
-    let without_room = counters.iter().map(|counters| counters.starts_without_room);
-    let turned_away = without_room.sum::<u64>() as f64 / starts as f64;
-    println!("links in use {most}, turned away {turned_away:.3}");
+    let without_capacity = counters.iter().map(|counters| counters.starts_without_room);
+    let rejected = without_capacity.sum::<u64>() as f64 / starts as f64;
+    println!("links in use {most}, rejected starts {rejected:.3}");
     assert!(most <= 3 * USUAL_LINKS, "{most} links in use");
-    assert!(turned_away <= 0.2, "{turned_away:.3} turned away");
+    assert!(rejected <= 0.2, "{rejected:.3} of the starts rejected");
 }
 
-/// A fifth of the targets had gone for good when all processes were killed, and nobody remembered them. A limit of links
-/// that counts the idle links to such targets fills with them: it refused 0.612 of the jobs here with room standing empty
-/// (none without a limit, none where only links count whose targets take work).
+/// Guards against a limit of links that is filled by links to absent targets. A fifth of the targets is down
+/// permanently when all processes are killed, and no process remembers these targets. A limit that counted the idle
+/// links to them refused a share of 0.612 of the jobs while capacity was free. No job is refused without a limit, or
+/// with one that counts only links whose targets take work.
 #[test]
 fn links_to_targets_that_are_gone_crowd_out_no_others_after_a_start_of_all_processes() {
     let killed = Duration::from_millis(500);
-    // Each target has said by then what it has.
+    // Each target has reported its capacity by then.
     let begin = Duration::from_millis(2_500);
     let loaded = Duration::from_secs(4);
     let mut fleet = Fleet::load(55, 240, None, 0.64, begin, loaded);
@@ -208,7 +214,7 @@
     assert_eq!(fleet.system.violations(), []);
 }
 
-/// Each fifth target is gone for good, then all processes are killed and start again within 300 ms.
+/// Crashes every fifth target permanently, then kills all processes, which restart within 300 ms.
 fn lose_targets_and_kill_all(system: &mut JobSystem, at: Duration) {
     let gone_at = Duration::from_millis(200);
     let gone = Duration::from_secs(600);
@@ -217,13 +223,13 @@
         let down = Duration::from_millis(100 + side % 200);
         let side = side as usize;
         if side.is_multiple_of(5) {
-            let is_dark = false;
+            let is_silent = false;
             plan(
                 gone_at,
                 JobFault::CrashTarget {
                     side,
                     down: gone,
-                    is_silent: is_dark,
+                    is_silent,
                 },
             );
         }
@@ -235,8 +241,9 @@
     }
 }
 
-/// A quarter of the targets leaves for four seconds under a load that comes in waves, and is back before the next wave. The
-/// places of all links were taken by then: 281 jobs of a second were refused at once, with the returned targets empty.
+/// Guards against returned targets that stay unused. A quarter of the targets is down for four seconds under a load in
+/// waves and returns before the next wave. All places for links were taken by then, and 281 jobs of one second were
+/// refused at once while the returned targets were empty.
 #[test]
 fn targets_that_come_back_to_a_crowd_are_used_again() {
     let mut system = JobSystem::new(JobSystemSettings {
@@ -250,11 +257,11 @@
     let jobs = submit_in_waves(&mut system, 13, 700.0 * 0.75, Duration::from_secs(22));
     for side in 0..18 {
         let down = Duration::from_secs(4);
-        let is_dark = false;
+        let is_silent = false;
         let fault = JobFault::CrashTarget {
             side,
             down,
-            is_silent: is_dark,
+            is_silent,
         };
         let at = Duration::from_secs(10);
         system.plan(JobFaultPlan { at, fault });
@@ -269,8 +276,8 @@
     assert!(refused * 1_000 <= jobs.len(), "{refused} refused");
 }
 
-/// Hands in jobs of all kinds from the fifth second on that keep `tasks` tasks running on average, a quarter more or less
-/// in waves of eleven seconds.
+/// Submits jobs of all kinds from the fifth second on that keep `tasks` tasks running on average, with waves of 27
+/// percent more and less over eleven seconds.
 fn submit_in_waves(
     system: &mut JobSystem,
     entries: usize,
--- a/crates/mastknot_virtual/tests/learned_profile.rs
+++ b/crates/mastknot_virtual/tests/learned_profile.rs
@@ -1,4 +1,5 @@
-//! What entries have learned outlasts them, over a store that goes away, loses answers and holds what others have written.
+//! Learned profiles of entries survive restarts, with a store that is unreachable, loses answers or holds documents of
+//! other writers.
 
 use std::time::Duration;
 
@@ -9,8 +10,9 @@
 const ENTRIES: usize = 4;
 const SIDES: usize = 12;
 const QUEUE: &str = "queue";
-/// Paces are written within this.
+/// Time by which the learned slowdowns are written, in milliseconds.
 const WRITTEN_MS: u64 = 25_000;
+/// Time for which a killed process is down.
 const DOWN: Duration = Duration::from_millis(300);
 const CRASH: TaskCrash = TaskCrash {
     tasks: 1,
@@ -43,7 +45,7 @@
     system
 }
 
-/// Hands in a job each so many milliseconds, at the entries in turn.
+/// Submits a job every `each_ms` milliseconds, to the entries in turn.
 fn submit(system: &mut JobSystem, from_ms: u64, until_ms: u64, each_ms: usize) -> Vec<JobId> {
     let times = (from_ms..until_ms).step_by(each_ms).enumerate();
     let jobs = times.map(|(number, ms)| {
@@ -83,12 +85,13 @@
     counters.iter().map(|held| held.profiles_read).collect()
 }
 
-/// The document, as it can be read.
+/// Returns the learned profile that the store holds.
 fn document(system: &JobSystem) -> LearnedProfile {
     let value = system.profile_store().value.as_deref();
-    LearnedProfile::decode(value.expect("a document")).expect("a good document")
+    LearnedProfile::decode(value.expect("a document")).expect("a valid document")
 }
 
+/// Returns the entry of each write of the profile.
 fn writers(system: &JobSystem) -> Vec<usize> {
     let writes = system.profile_store().writes.iter();
     writes.map(|(_, entry)| *entry).collect()
@@ -108,7 +111,7 @@
     assert_eq!(profiles_read(&system), [1; ENTRIES]);
 }
 
-/// How many of the first long jobs after a restart are in time, with what was learned before and without it.
+/// Returns the number of the first 30 long jobs after a restart that are in time, with or without the learned profile.
 fn in_time_after_restart(has_profile: bool) -> usize {
     let mut system = system_of(true, &[55, 170]);
     let at_ms = WRITTEN_MS + 2_000;
@@ -135,12 +138,13 @@
     in_time.count()
 }
 
-/// A task of 900 ms takes 1,636 ms on a slow target and has 1,500 ms.
+/// Guards against long tasks on slow targets after a restart: a task of 900 ms takes 1,636 ms on a slow target, and its
+/// latency objective is 1,500 ms.
 #[test]
-fn the_first_jobs_after_a_restart_go_where_they_went_before() {
+fn the_first_jobs_after_a_restart_are_placed_by_the_learned_profile() {
     let known = in_time_after_restart(true);
     let unknown = in_time_after_restart(false);
-    println!("{known} of 30 in time, {unknown} without what was learned");
+    println!("{known} of 30 in time, {unknown} without the learned profile");
     assert_eq!(known, 30);
     assert!(unknown < known);
 }
@@ -155,8 +159,8 @@
     assert_eq!(system.profile_store().reads, ENTRIES);
 }
 
-/// Each entry renews its lease each two seconds, and makes other calls besides. A twentieth of the renewals alone is the
-/// most that this may cost.
+/// Guards against frequent calls of the store for the profile. Each entry renews its lease every two seconds, beside
+/// other calls; the profile may cost at most a twentieth of these renewals.
 #[test]
 fn a_calm_half_hour_costs_few_calls() {
     let mut system = system(true);
@@ -180,10 +184,15 @@
     system.run_until(millis(40_000));
     assert_eq!(system.profile_store().writes.len(), 1);
     assert_eq!(system.profile_store().reads, ENTRIES + 1);
-    assert_eq!(profiles_read(&system), [0; ENTRIES], "it is their own");
+    assert_eq!(
+        profiles_read(&system),
+        [0; ENTRIES],
+        "the entries read only the profile that they wrote"
+    );
 }
 
-/// Entries start with something else under the key; they serve as without it, and write a good document in its place.
+/// Restarts the entries with the given bytes under the profile's key. They serve as without a profile and replace the
+/// bytes with a valid document.
 fn with_document(value: Vec<u8>) -> JobSystem {
     let mut system = system(true);
     system.put_profile(value);
@@ -195,16 +204,23 @@
     system
 }
 
-fn good() -> Vec<u8> {
+/// Returns the bytes of an empty, valid profile.
+fn valid_document() -> Vec<u8> {
     LearnedProfile::default().encode().expect("bytes")
 }
 
 #[test]
-fn a_half_foreign_or_older_document_does_no_harm() {
-    let half = good()[..10].to_vec();
-    let mut older = good();
+fn a_truncated_foreign_or_older_document_does_no_harm() {
+    let truncated = valid_document()[..10].to_vec();
+    let mut older = valid_document();
     older[0] -= 1;
-    for value in [half, older, b"{}".to_vec(), Vec::new(), vec![0; 1 << 20]] {
+    for value in [
+        truncated,
+        older,
+        b"{}".to_vec(),
+        Vec::new(),
+        vec![0; 1 << 20],
+    ] {
         let system = with_document(value);
         assert_eq!(system.profile_store().unusable_documents, ENTRIES);
         assert_eq!(profiles_read(&system), [0; ENTRIES]);
@@ -218,7 +234,7 @@
     submit(&mut system, 1_000, 120_000, 50);
     system.run_until(millis(WRITTEN_MS));
     assert_eq!(document(&system).slowdowns.len(), 2);
-    // Another writer has put nothing there.
+    // Another writer has replaced the document with an empty value.
     system.put_profile(Vec::new());
     restart_entries(&mut system, WRITTEN_MS + 1_000);
     system.run_until(millis(120_000));
@@ -226,7 +242,7 @@
 }
 
 #[test]
-fn a_store_that_is_away_at_the_start_delays_no_job_and_is_read_later() {
+fn a_store_that_is_unreachable_at_the_start_delays_no_job_and_is_read_later() {
     let mut system = system(true);
     submit(&mut system, 1_000, WRITTEN_MS, 50);
     restart_all(&mut system, WRITTEN_MS + 2_000);
@@ -241,7 +257,8 @@
     assert_eq!(profiles_read(&system), [1; ENTRIES]);
 }
 
-/// The entry that writes first is cut off: the next one writes after a while. Once it is back it takes what is there.
+/// When the entry that writes first is disconnected, another entry writes. The first one reads that document once it is
+/// connected again.
 #[test]
 fn another_entry_writes_when_the_first_does_not() {
     let mut system = system(true);
@@ -261,7 +278,7 @@
     assert!(profiles_read(&system)[first] > 0);
 }
 
-/// A kind is found again after a restart of all without another crash for that.
+/// A kind is contained again after a restart of all processes without a further crash.
 #[test]
 fn a_suspect_is_contained_as_soon_as_the_document_is_read() {
     for is_ranked in [false, true] {
--- a/crates/mastknot_virtual/tests/learned_profile_bytes.rs
+++ b/crates/mastknot_virtual/tests/learned_profile_bytes.rs
@@ -1,5 +1,4 @@
-//! Whatever bytes a store gives back: they are a learned profile or a typed error, and nothing that can't be learned is
-//! believed.
+//! Bytes from a store decode to a learned profile or to a typed error, and no value outside of its bounds is accepted.
 
 use std::sync::Arc;
 
@@ -27,13 +26,13 @@
     "[a-z0-9/-]{0,100}".prop_map(Arc::from)
 }
 
-/// Any number, also those that are none.
-fn figure() -> impl Strategy<Value = f64> {
+/// Generates floating-point numbers, among them NaN and infinities.
+fn number() -> impl Strategy<Value = f64> {
     prop_oneof![4 => -60.0..60.0, 1 => any::<f64>()]
 }
 
-fn pace() -> impl Strategy<Value = LearnedSlowdown> {
-    (name(), name(), any::<u32>(), figure()).prop_map(|(queue, class, runs, log_ratio)| {
+fn slowdown() -> impl Strategy<Value = LearnedSlowdown> {
+    (name(), name(), any::<u32>(), number()).prop_map(|(queue, class, runs, log_ratio)| {
         LearnedSlowdown {
             queue,
             class,
@@ -44,24 +43,24 @@
 }
 
 fn run_times() -> impl Strategy<Value = LearnedRunTimes> {
-    let figures = (figure(), figure(), figure(), figure());
-    (name(), any::<u32>(), figures).prop_map(|(queue, steps, figures)| LearnedRunTimes {
+    let numbers = (number(), number(), number(), number());
+    (name(), any::<u32>(), numbers).prop_map(|(queue, steps, numbers)| LearnedRunTimes {
         queue,
         steps,
-        log_estimate: figures.0,
-        log_run_time: figures.1,
-        estimate_variance: figures.2,
-        covariance: figures.3,
+        log_estimate: numbers.0,
+        log_run_time: numbers.1,
+        estimate_variance: numbers.2,
+        covariance: numbers.3,
     })
 }
 
 fn suspect() -> impl Strategy<Value = LearnedSuspect> {
-    let figures = (any::<u32>(), any::<u32>(), any::<u16>());
-    (figures, vec("[a-z0-9-]{0,120}", 0..24)).prop_map(|((kind, after_ms, part), names)| {
+    let numbers = (any::<u32>(), any::<u32>(), any::<u16>());
+    (numbers, vec("[a-z0-9-]{0,120}", 0..24)).prop_map(|((kind, after_ms, share), names)| {
         LearnedSuspect {
             kind: TaskKind(kind),
             crashed_after_ms: after_ms,
-            share_per_mille: part,
+            share_per_mille: share,
             crashed_sides: names.iter().map(|name| name.as_str().into()).collect(),
         }
     })
@@ -69,28 +68,31 @@
 
 fn profile() -> impl Strategy<Value = LearnedProfile> {
     let lists = (
-        vec(pace(), 0..40),
+        vec(slowdown(), 0..40),
         vec(run_times(), 0..40),
         vec(suspect(), 0..100),
     );
-    (any::<u64>(), lists).prop_map(
-        |(written_ms, (paces, run_times, suspects))| LearnedProfile {
+    (any::<u64>(), lists).prop_map(|(written_ms, (slowdowns, run_times, suspects))| {
+        LearnedProfile {
             written_ms,
-            slowdowns: paces,
+            slowdowns,
             run_times,
             suspects,
-        },
-    )
+        }
+    })
 }
 
 fn bytes_of(profile: &LearnedProfile) -> Vec<u8> {
-    profile.encode().expect("it can be written")
+    profile.encode().expect("the profile can be encoded")
 }
 
-/// All that is believed lies within its bounds.
-fn is_sound(profile: &LearnedProfile) -> bool {
+/// Returns whether all values of a decoded profile are within their bounds.
+fn is_within_bounds(profile: &LearnedProfile) -> bool {
     let is_log = |value: f64| value.abs() <= 50.0;
-    let paces = profile.slowdowns.iter().all(|pace| is_log(pace.log_ratio));
+    let slowdowns = profile
+        .slowdowns
+        .iter()
+        .all(|slowdown| is_log(slowdown.log_ratio));
     let mut times = profile.run_times.iter();
     let times = times.all(|times| {
         is_log(times.log_estimate)
@@ -99,17 +101,17 @@
             && times.covariance.abs() <= 2_500.0
     });
     let mut suspects = profile.suspects.iter();
-    paces && times && suspects.all(|suspect| (1..=1_000).contains(&suspect.share_per_mille))
+    slowdowns && times && suspects.all(|suspect| (1..=1_000).contains(&suspect.share_per_mille))
 }
 
 #[test]
-fn what_is_written_is_small_and_can_be_read() {
+fn encoded_profiles_are_small_and_can_be_decoded() {
     let result = runner().run(&profile(), |written| {
         let bytes = bytes_of(&written);
         prop_assert!(bytes.len() <= MAX_PROFILE_BYTES);
         let read = LearnedProfile::decode(&bytes);
         let read = read.map_err(|error| TestCaseError::fail(error.to_string()))?;
-        prop_assert!(is_sound(&read));
+        prop_assert!(is_within_bounds(&read));
         prop_assert_eq!(read.written_ms, written.written_ms);
         prop_assert_eq!(bytes_of(&read), bytes);
         Ok(())
@@ -127,12 +129,12 @@
 }
 
 #[test]
-fn cut_documents_are_an_error() {
+fn truncated_documents_are_an_error() {
     let cases = (profile(), any::<prop::sample::Index>());
-    let result = runner().run(&cases, |(written, place)| {
+    let result = runner().run(&cases, |(written, index)| {
         let bytes = bytes_of(&written);
-        let cut = &bytes[..place.index(bytes.len())];
-        let read = LearnedProfile::decode(cut);
+        let truncated = &bytes[..index.index(bytes.len())];
+        let read = LearnedProfile::decode(truncated);
         prop_assert!(
             matches!(read, Err(ProfileError::WrongLength { .. })),
             "{read:?}"
@@ -145,10 +147,10 @@
 #[test]
 fn changed_documents_are_an_error() {
     let cases = (profile(), any::<prop::sample::Index>(), 1..=u8::MAX);
-    let result = runner().run(&cases, |(written, place, change)| {
+    let result = runner().run(&cases, |(written, index, change)| {
         let mut bytes = bytes_of(&written);
-        let place = place.index(bytes.len());
-        bytes[place] ^= change;
+        let index = index.index(bytes.len());
+        bytes[index] ^= change;
         prop_assert!(LearnedProfile::decode(&bytes).is_err());
         Ok(())
     });
--- a/crates/mastknot_virtual/tests/linked_again.rs
+++ b/crates/mastknot_virtual/tests/linked_again.rs
@@ -1,4 +1,5 @@
-//! A link that stands again for a moment: the side hears the entry, the entry does not hear what goes on.
+//! A link that is opened again for a moment: the side receives the entry's messages, but the entry no longer receives
+//! the side's.
 
 use std::time::Duration;
 
@@ -6,9 +7,9 @@
     Direction, JobFault, JobFaultPlan, JobSystem, JobSystemSettings, JobViolation,
 };
 
-/// The link breaks then, in milliseconds.
-const BROKEN: u64 = 2_000;
-/// New links can be made again so much later.
+/// Time at which the link breaks, in milliseconds.
+const BROKEN_AT_MS: u64 = 2_000;
+/// Time after the break from which a new link can be opened, in milliseconds.
 const AWAY_MS: u64 = 150;
 
 fn millis(ms: u64) -> Duration {
@@ -26,7 +27,7 @@
     })
 }
 
-fn cut(at: Duration, direction: Direction, time: Duration) -> JobFaultPlan {
+fn partition(at: Duration, direction: Direction, time: Duration) -> JobFaultPlan {
     let fault = JobFault::PartitionLink {
         entry: 0,
         side: 0,
@@ -36,44 +37,50 @@
     JobFaultPlan { at, fault }
 }
 
-/// The link breaks and stands again after a while; so long after that nothing arrives at the entry any more.
+/// Plays a link that breaks and is opened again. Nothing arrives at the entry from `again` after that on.
 fn play(again: Duration, seed: u64) -> JobSystem {
     let mut system = system(seed);
     system.submit(millis(1_500), 0, 6, millis(1_900));
     let broken = JobFault::ResetLink { entry: 0, side: 0 };
     system.plan(JobFaultPlan {
-        at: millis(BROKEN),
+        at: millis(BROKEN_AT_MS),
         fault: broken,
     });
-    system.plan(cut(millis(BROKEN), Direction::Both, millis(AWAY_MS)));
-    let deaf_from = millis(BROKEN + AWAY_MS) + again;
-    system.plan(cut(deaf_from, Direction::ToEntry, millis(2_500)));
+    system.plan(partition(
+        millis(BROKEN_AT_MS),
+        Direction::Both,
+        millis(AWAY_MS),
+    ));
+    let silent_from = millis(BROKEN_AT_MS + AWAY_MS) + again;
+    system.plan(partition(silent_from, Direction::ToEntry, millis(2_500)));
     system.run_until(millis(9_000));
     system
 }
 
-fn ran_twice(system: &JobSystem) -> usize {
+fn count_concurrent_runs(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
-    twice.count()
+    let concurrent =
+        violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
+    concurrent.count()
 }
 
-/// The side's lease counted from its greeting, the entry's silence from the link before.
+/// Guards against two different starts of a lease: the side counted from its hello on the new link, the entry from the
+/// last message on the former link.
 #[test]
-fn runs_do_not_go_on_under_a_greeting_whose_answer_was_not_heard() {
-    let mut twice = Vec::new();
+fn runs_do_not_go_on_under_a_hello_whose_answer_was_not_received() {
+    let mut concurrent = Vec::new();
     for seed in 0..10 {
         for step in 0..120 {
             let again = Duration::from_micros(1_000 * step);
-            let count = ran_twice(&play(again, seed));
+            let count = count_concurrent_runs(&play(again, seed));
             if count > 0 {
-                twice.push((seed, again, count));
+                concurrent.push((seed, again, count));
             }
         }
     }
     assert_eq!(
-        twice,
+        concurrent,
         [],
-        "seed, when the entry heard nothing any more, tasks"
+        "seed, time after which the entry received nothing, tasks"
     );
 }
--- a/crates/mastknot_virtual/tests/long_jobs_at_once.rs
+++ b/crates/mastknot_virtual/tests/long_jobs_at_once.rs
@@ -1,8 +1,8 @@
-//! Long jobs that come at once, as after a restart of the entries, beside the usual ones.
+//! Guards against refusals of narrow jobs when long jobs arrive at once, as after a restart of the entries.
 //!
-//! What callers saw: narrow jobs were refused in the second after, although there was room for nearly all. What happened:
-//! each long job began with the little room that was there and then, as one that has begun, got what came free before the
-//! narrow ones, which can wait for a fraction of its slack only.
+//! Narrow jobs were refused in the following second although there was capacity for nearly all of them. Each long job
+//! started with the little capacity that was free and then, as a job that has begun, received all further capacity
+//! before the narrow jobs, which can wait for only a fraction of a long job's slack.
 
 use std::time::Duration;
 
@@ -11,17 +11,19 @@
 
 const ENTRIES: usize = 4;
 const SIDES: usize = 8;
-/// Ten tasks of a job of the virtual system fill a target.
+/// Processor time of a target, in thousandths of a processor: enough for ten tasks of the virtual system.
 const TARGET_CPU: u32 = 16_000;
-/// Links stand by then.
+/// Time by which the links are established, in milliseconds.
 const SETTLED_MS: u64 = 1_000;
+/// Number of long jobs that are submitted at once.
 const AT_ONCE: usize = 8;
 const END_MS: u64 = 7_000;
-/// The share of its jobs with which a window counts as served.
+/// Share of completed jobs from which a window counts as served.
 const WELL_SERVED: f64 = 0.95;
+/// Length of a window, in milliseconds.
 const WINDOW_MS: u64 = 2_000;
 
-/// A kind of job: its queue, how many tasks, how long each takes, and how often one comes.
+/// Kind of job: its queue, number of tasks, work of each, and time between two jobs.
 #[derive(Clone, Copy, Debug)]
 struct Kind {
     queue: &'static str,
@@ -30,7 +32,7 @@
     every_ms: u64,
 }
 
-/// Its slack is 180 ms.
+/// Narrow jobs, which have a slack of 180 ms.
 const NARROW: Kind = Kind {
     queue: "narrow",
     tasks: 2,
@@ -38,7 +40,7 @@
     every_ms: 10,
 };
 
-/// Its slack is 600 ms.
+/// Long jobs, which have a slack of 600 ms.
 const LONG: Kind = Kind {
     queue: "long",
     tasks: 4,
@@ -46,13 +48,13 @@
     every_ms: 160,
 };
 
-struct Play {
+struct Simulation {
     system: JobSystem,
-    /// When each job is handed in.
+    /// Jobs with the time of their submission, in milliseconds.
     jobs: Vec<(u64, JobId)>,
 }
 
-impl Play {
+impl Simulation {
     fn new() -> Self {
         let system = JobSystem::new(JobSystemSettings {
             entries: ENTRIES,
@@ -66,9 +68,9 @@
         Self { system, jobs }
     }
 
-    /// Hands in jobs at these moments, to the entries in turn.
-    fn submit(&mut self, kind: Kind, moments: impl Iterator<Item = u64>) {
-        for (number, ms) in moments.enumerate() {
+    /// Submits jobs at the given times, in milliseconds, to the entries in turn.
+    fn submit(&mut self, kind: Kind, times: impl Iterator<Item = u64>) {
+        for (number, ms) in times.enumerate() {
             let at = Duration::from_millis(ms);
             let work = Duration::from_millis(kind.work_ms);
             let entry = number % ENTRIES;
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The share of the jobs of a window that are completed.
+    /// Returns the share of completed jobs among those of a window.
     fn share(&self, from_ms: u64) -> f64 {
         let window = from_ms..from_ms + WINDOW_MS;
         let jobs = self.jobs.iter().filter(|(ms, _)| window.contains(ms));
@@ -88,19 +90,25 @@
     }
 }
 
-/// Guards against long jobs that begin in pieces and so go before narrow ones that can wait far less.
+/// Guards against long jobs that start in parts and so take precedence over narrow ones that can wait far less.
 #[test]
 fn narrow_jobs_are_served_beside_long_ones_that_come_at_once() {
     for at_once in (4_050..4_350).step_by(50) {
-        let mut play = Play::new();
+        let mut simulation = Simulation::new();
         for kind in [LONG, NARROW] {
-            play.submit(kind, (SETTLED_MS..END_MS).step_by(kind.every_ms as usize));
+            simulation.submit(kind, (SETTLED_MS..END_MS).step_by(kind.every_ms as usize));
         }
-        play.submit(LONG, std::iter::repeat_n(at_once, AT_ONCE));
-        play.system.run_until(Duration::from_millis(END_MS + 5_000));
-        assert_eq!(play.system.violations(), [], "at once at {at_once} ms");
-        let before = play.share(at_once - WINDOW_MS);
-        let after = play.share(at_once);
+        simulation.submit(LONG, std::iter::repeat_n(at_once, AT_ONCE));
+        simulation
+            .system
+            .run_until(Duration::from_millis(END_MS + 5_000));
+        assert_eq!(
+            simulation.system.violations(),
+            [],
+            "at once at {at_once} ms"
+        );
+        let before = simulation.share(at_once - WINDOW_MS);
+        let after = simulation.share(at_once);
         assert!(
             before >= WELL_SERVED && after >= WELL_SERVED,
             "at once at {at_once} ms: {before:.3} before, {after:.3} after"
--- a/crates/mastknot_virtual/tests/overload.rs
+++ b/crates/mastknot_virtual/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Refusal, fairness and retries under load, in virtual time.
+//! Refusals, fairness and retries under load, in virtual time.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use mastknot_core::message::{Ran, Reply};
 use mastknot_virtual::{Delays, VirtualSystem};
 
-/// Requests of `team` at a steady rate from now on; returns their numbers.
+/// Submits requests of `team` at a steady rate from now on and returns their numbers.
 fn stream(
     system: &mut VirtualSystem,
     team: &str,
@@ -33,7 +33,7 @@
     requests
 }
 
-/// The response times in microseconds, sorted; those without a complete answer are left out.
+/// Returns the sorted response times of the completely answered requests, in microseconds.
 fn responses(system: &VirtualSystem, requests: &[u64]) -> Vec<u64> {
     let of = |request: &u64| {
         let submitted = system.request(*request);
@@ -47,7 +47,7 @@
 
 #[test]
 fn at_twice_the_capacity_goodput_stays_and_refusals_are_early_and_true() {
-    // 4 sides of 8 slots and 100 ms tasks: 320 a second.
+    // 4 sides of 8 slots can run 320 tasks of 100 ms per second.
     let mut system = system(2, 4, 8, 1);
     let requests = stream(&mut system, "team", 640, 20, 1_000);
     system.run_for(Duration::from_secs(25));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_team_within_its_quota_does_not_feel_another_teams_burst() {
+fn a_team_within_its_quota_is_not_slowed_by_another_teams_burst() {
     let run = |burst: bool| {
         let mut system = system(2, 4, 8, 2);
         system.write_resource("team", "small", r#"{"quota":12}"#);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_storm_of_refusing_targets_does_not_multiply_starts() {
+fn refusing_targets_do_not_multiply_starts() {
     let mut system = VirtualSystem::new(Delays::KALAHARI, 3);
     for hall in ["h1", "h2"] {
         system.add_entry(hall, |settings| settings);
@@ -133,9 +133,9 @@
     assert_kept(&system);
 }
 
-/// A job that no idle system could do in time was told to come back later.
+/// Guards against a retry time for a job that even an idle system could not complete in time.
 #[test]
-fn a_job_that_can_never_be_done_in_time_is_not_told_to_come_back() {
+fn a_job_that_can_never_be_done_in_time_gets_no_retry_time() {
     let mut system = system(1, 2, 4, 4);
     let key = system.new_key();
     let mut asked = common::job(key, 800, 100);
@@ -149,14 +149,14 @@
     assert_kept(&system);
 }
 
-/// An entry without a credit did not ask for one if tasks are so short that a free slot is soon
-/// there, somewhere else: it starved beside a busy peer, for as long as that was busy.
+/// Guards against an entry that starves beside a busy peer: an entry without a credit did not ask for one when tasks
+/// were so short that a slot was expected to be free soon on another side.
 #[test]
 fn an_entry_without_credits_is_not_starved_by_a_busy_peer() {
     let mut system = system(2, 2, 4, 5);
     system.write_resource("service", "pay", r#"{"path":"/pay","typical_ms":1}"#);
     system.run_for(SETTLE);
-    // Entry 0 takes every slot first and keeps it.
+    // Entry 0 takes all slots first and keeps them.
     for _ in 0..10 {
         let key = common::key_held_by(&mut system, 0);
         system.submit(0, common::job(key, 1_000, 1));
--- a/crates/mastknot_virtual/tests/plays_repeat.rs
+++ b/crates/mastknot_virtual/tests/plays_repeat.rs
@@ -1,4 +1,4 @@
-//! A play of a seed is the same each time: a failure that shows once can be played again.
+//! A scenario with a given seed is the same in each run, so that a failure can be reproduced.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     JobFaultPlan { at, fault }
 }
 
-/// What the callers of a load were told while all entries were killed.
+/// Returns the answers that the callers of each job received in a load during which all entries were killed.
 fn answers(seed: u64) -> Vec<Vec<GivenAnswer>> {
     let mut system = JobSystem::new(JobSystemSettings {
         entries: ENTRIES,
@@ -46,7 +46,7 @@
     answers.map(<[GivenAnswer]>::to_vec).collect()
 }
 
-/// Guards against links that break in another order each time.
+/// Guards against links that break in a different order in each run.
 #[test]
 fn plays_with_killed_entries_repeat() {
     for seed in 0..4 {
--- a/crates/mastknot_virtual/tests/random_histories.rs
+++ b/crates/mastknot_virtual/tests/random_histories.rs
@@ -1,6 +1,6 @@
-//! Random interleavings of work and faults keep every promise.
+//! Random interleavings of work and faults violate no guarantee.
 //!
-//! CI runs a fixed set of histories. The long run takes its number from the environment:
+//! CI runs a fixed set of histories. A long run takes their number from the environment:
 //! `MASTKNOT_HISTORIES=10000 cargo test --release -p mastknot_virtual --test random_histories`
 
 mod common;
@@ -14,11 +14,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Histories that CI runs.
+/// Number of histories that CI runs.
 const CI_HISTORIES: u32 = 200;
 const ENTRIES: usize = 3;
 const SIDES: usize = 4;
 const HALLS: [&str; 3] = ["h1", "h2", "h3"];
+/// Kinds of messages that faults hit.
 const KINDS: [MessageKind; 10] = [
     MessageKind::Start,
     MessageKind::Answer,
@@ -32,6 +33,7 @@
     MessageKind::Config,
 ];
 
+/// Step of a history: an operation of a caller or an operator, a fault, or the passing of time.
 #[derive(Clone, Debug)]
 enum Op {
     Submit {
@@ -67,7 +69,7 @@
     Wait(u64),
 }
 
-fn fate() -> impl Strategy<Value = MessageFault> {
+fn message_fault() -> impl Strategy<Value = MessageFault> {
     prop_oneof![
         Just(MessageFault::Lost),
         (1..3_000_u64).prop_map(|ms| MessageFault::Delayed(Duration::from_millis(ms))),
@@ -98,7 +100,7 @@
         1 => (0..3_u64).prop_map(Op::StaleReads),
         1 => (hall.clone(), hall.clone()).prop_map(|(a, b)| Op::Cut(a, b)),
         2 => (hall.clone(), hall).prop_map(|(a, b)| Op::Heal(a, b)),
-        3 => (0..KINDS.len(), fate()).prop_map(|(kind, fate)| Op::Message(kind, fate)),
+        3 => (0..KINDS.len(), message_fault()).prop_map(|(kind, fault)| Op::Message(kind, fault)),
         1 => (side.clone(), any::<bool>()).prop_map(|(side, is)| Op::Refuse(side, is)),
         1 => side.prop_map(Op::LoseAnswers),
         1 => (1..100_u32).prop_map(Op::Configure),
@@ -143,9 +145,9 @@
         Op::StaleReads(writes) => system.store.faults.stale_writes = *writes,
         Op::Cut(a, b) if a != b => system.partition(HALLS[*a], HALLS[*b]),
         Op::Heal(a, b) if a != b => system.heal(HALLS[*a], HALLS[*b]),
-        Op::Message(kind, fate) => system.add_rule(FaultRule {
+        Op::Message(kind, fault) => system.add_rule(FaultRule {
             kind: KINDS[*kind],
-            fault: *fate,
+            fault: *fault,
             count: 1,
         }),
         Op::Refuse(side, is_refusing) => system.set_refusing(*side, *is_refusing),
--- a/crates/mastknot_virtual/tests/rebirths.rs
+++ b/crates/mastknot_virtual/tests/rebirths.rs
@@ -1,8 +1,9 @@
-//! Targets that start again under the names that they had.
+//! Targets that restart under the same names.
 //!
-//! A target that starts again holds nothing and counts anew: its reports, its ends, its clock. Who tells its lives apart by
-//! name alone takes the reports of the new one for late ones of the old, so that the target stands idle for as long as the old
-//! one lived; forgets its first ends; and asks for holds by a clock that is far ahead.
+//! A restarted target holds no runs and counts its reports, its ends and its clock from the beginning. A side that
+//! distinguishes incarnations by name alone takes the new incarnation's reports for late ones of the old one, so that
+//! the target stays idle for as long as the old incarnation ran. It also drops the first ends of runs and asks for
+//! holds by a clock that is far ahead.
 
 use std::time::Duration;
 
@@ -14,11 +15,11 @@
 const ENTRIES: usize = 2;
 const SIDES: usize = 3;
 const TARGET_CPU: u32 = 16_000;
-/// Histories that CI runs; `MASTKNOT_HISTORIES` asks for more.
+/// Number of histories that CI runs; `MASTKNOT_HISTORIES` sets another number.
 const CI_HISTORIES: u64 = 300;
-/// Between two jobs: half of what the targets bear.
+/// Time between two jobs, in milliseconds, at which the load is half of what the targets can run.
 const BETWEEN_JOBS_MS: u64 = 80;
-/// The longest hold that a platform may allow.
+/// Longest hold that a platform may allow.
 const LONG_HOLD: Duration = Duration::from_secs(15);
 
 fn histories() -> u64 {
@@ -42,7 +43,7 @@
     })
 }
 
-/// Jobs of three lengths at both entries in turn.
+/// Submits jobs of three lengths to both entries in turn and returns their number.
 fn load(system: &mut JobSystem, from: u64, until: u64) -> usize {
     let times = (from..until).step_by(BETWEEN_JOBS_MS as usize);
     let jobs = times.enumerate().map(|(count, at)| {
@@ -56,19 +57,20 @@
     jobs.count()
 }
 
-fn crash(side: usize, at: u64, down: u64, is_dark: bool) -> JobFaultPlan {
+fn crash(side: usize, at: u64, down: u64, is_silent: bool) -> JobFaultPlan {
     JobFaultPlan {
         at: millis(at),
         fault: JobFault::CrashTarget {
             side,
             down: millis(down),
-            is_silent: is_dark,
+            is_silent,
         },
     }
 }
 
-/// What may happen around a rebirth: the side is cut off, stands still or restarts, reports are held up, an entry goes.
-fn fault_beside(rng: &mut StdRng, side: usize) -> JobFault {
+/// Returns a random fault beside a target's restart: the side is partitioned, paused or restarted, reports are delayed,
+/// or an entry is killed.
+fn fault_near_restart(rng: &mut StdRng, side: usize) -> JobFault {
     let entry = rng.random_range(0..ENTRIES);
     let time = millis(rng.random_range(20..3_000));
     match rng.random_range(0..6) {
@@ -86,7 +88,7 @@
     }
 }
 
-/// Targets that crash and start again, some of them within a heartbeat and unnoticed, and faults beside.
+/// Plays targets that crash and restart, some of them unnoticed within a heartbeat, beside other faults.
 fn play(seed: u64, prepare: impl Fn(&mut JobSystem)) -> JobSystem {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut system = system(seed);
@@ -100,7 +102,7 @@
         if rng.random_bool(0.4) {
             let offset = rng.random_range(0..400);
             let at = millis((at + offset).saturating_sub(200));
-            let fault = fault_beside(&mut rng, side);
+            let fault = fault_near_restart(&mut rng, side);
             system.plan(JobFaultPlan { at, fault });
         }
     }
@@ -118,7 +120,7 @@
 }
 
 #[test]
-fn long_holds_by_the_clock_of_a_former_life_break_nothing() {
+fn long_holds_by_the_clock_of_a_former_incarnation_break_nothing() {
     for seed in 0..histories() {
         let system = play(seed, |system| {
             system.keep_target_names();
@@ -129,8 +131,9 @@
     }
 }
 
-/// How many of the jobs are completed that come after all targets, which have lived for long, have started again.
-fn completed_after_rebirth(seed: u64, prepare: impl Fn(&mut JobSystem)) -> (usize, usize) {
+/// Returns the numbers of completed and of all jobs that are submitted after a restart of all targets, which had run
+/// for long before.
+fn completed_after_restart(seed: u64, prepare: impl Fn(&mut JobSystem)) -> (usize, usize) {
     let mut system = system(seed);
     prepare(&mut system);
     for side in 0..SIDES {
@@ -144,14 +147,15 @@
 }
 
 #[test]
-fn a_target_takes_work_as_soon_as_its_next_life_reports() {
+fn a_target_takes_work_as_soon_as_its_next_incarnation_reports() {
     for seed in 0..5 {
-        let (completed, jobs) = completed_after_rebirth(seed, JobSystem::keep_target_names);
+        let (completed, jobs) = completed_after_restart(seed, JobSystem::keep_target_names);
         assert_eq!(completed, jobs, "seed {seed}");
     }
 }
 
-fn broken(prepare: impl Fn(&mut JobSystem)) -> usize {
+/// Returns the number of histories with a violation or with jobs and runs left over.
+fn count_failed_histories(prepare: impl Fn(&mut JobSystem)) -> usize {
     let is_broken = |seed: &u64| {
         let system = play(*seed, &prepare);
         !system.violations().is_empty() || system.held_jobs_and_runs() != (0, 0)
@@ -160,19 +164,19 @@
 }
 
 #[test]
-fn lives_told_apart_by_name_alone_are_caught() {
-    let broken = broken(|system| {
+fn incarnations_distinguished_by_name_alone_are_detected() {
+    let failed = count_failed_histories(|system| {
         system.omit_start_times();
         system.set_max_hold(LONG_HOLD);
     });
-    assert!(broken > 0, "the audit does not see it");
+    assert!(failed > 0, "the audit does not detect the violations");
 }
 
 #[test]
 fn lives_told_apart_by_report_numbers_alone_are_caught() {
-    let broken = broken(|system| {
+    let failed = count_failed_histories(|system| {
         system.infer_restarts_from_report_numbers();
         system.set_max_hold(LONG_HOLD);
     });
-    assert!(broken > 0, "the audit does not see it");
+    assert!(failed > 0, "the audit does not detect the violations");
 }
--- a/crates/mastknot_virtual/tests/roster.rs
+++ b/crates/mastknot_virtual/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The roster of entries: who is in it, and who is not voted out.
+//! The roster of entries: which entries are in it, and which must not be removed.
 
 mod common;
 
@@ -6,7 +6,7 @@
 
 use common::{assert_kept, is_complete, job, key_held_by, system};
 
-/// Found on the first run as separate processes: an entry with nothing to say was voted out.
+/// Guards against removing an entry that has no messages to send.
 #[test]
 fn idle_peers_stay_in_the_roster() {
     let mut system = system(2, 1, 4, 1);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_job_sent_to_the_wrong_entry_reaches_its_holder() {
+fn a_job_sent_to_the_wrong_entry_reaches_its_owner() {
     let mut system = system(2, 2, 4, 2);
     let key = key_held_by(&mut system, 1);
     let request = system.submit(0, job(key, 10, 100));
--- a/crates/mastknot_virtual/tests/runs_called_over.rs
+++ b/crates/mastknot_virtual/tests/runs_called_over.rs
@@ -1,6 +1,8 @@
-//! No run is called over that goes on, whatever fails close together: its target would list it, and nobody would have it.
+//! Guards against runs that are reconciled as lost although they go on, when faults follow each other closely. A target
+//! would list such a run while no entry has it.
 //!
-//! Sides that stand still are left out: what a target answered before they wake is old when it is read.
+//! Pauses and suspensions of sides are left out: the answers that a target gave before a side resumes are outdated when
+//! the side reads them.
 
 use std::time::Duration;
 
@@ -12,9 +14,9 @@
 
 const ENTRIES: usize = 3;
 const SIDES: usize = 4;
-/// Pairs of faults in one play.
+/// Number of pairs of faults in one history.
 const PAIRS: usize = 14;
-/// Histories that CI runs; `MASTKNOT_HISTORIES` asks for more.
+/// Number of histories that CI runs; `MASTKNOT_HISTORIES` sets another number.
 const CI_HISTORIES: u64 = 150;
 
 fn millis(ms: u64) -> Duration {
@@ -31,14 +33,14 @@
     [Direction::ToSide, Direction::ToEntry, Direction::Both][rng.random_range(0..3)]
 }
 
-fn mood(rng: &mut StdRng) -> TargetBehaviour {
-    let moods = [
+fn behaviour(rng: &mut StdRng) -> TargetBehaviour {
+    let behaviours = [
         TargetBehaviour::AppliesLate(3),
         TargetBehaviour::LosesAnswers(2),
         TargetBehaviour::StopsLate(3),
         TargetBehaviour::Stalls,
     ];
-    moods[rng.random_range(0..moods.len())]
+    behaviours[rng.random_range(0..behaviours.len())]
 }
 
 fn fault(rng: &mut StdRng) -> JobFault {
@@ -53,7 +55,7 @@
         4 | 5 => JobFault::ResetLink { entry, side },
         6 => JobFault::Misbehave {
             side,
-            behaviour: mood(rng),
+            behaviour: behaviour(rng),
             time,
         },
         7 => JobFault::CrashTarget {
@@ -70,7 +72,7 @@
     }
 }
 
-/// Short and long jobs at all entries in turn.
+/// Submits short and long jobs to all entries in turn.
 fn load(system: &mut JobSystem) {
     for (count, at) in (800..5_000).step_by(100).enumerate() {
         let (tasks, work) = match count % 4 {
@@ -83,7 +85,7 @@
     }
 }
 
-/// Faults in pairs, the second one of each close behind the first.
+/// Plays faults in pairs, the second of each pair shortly after the first.
 fn play(seed: u64) -> JobSystem {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut system = JobSystem::new(JobSystemSettings {
@@ -112,14 +114,14 @@
 }
 
 #[test]
-fn no_run_is_called_over_that_its_target_still_lists() {
+fn no_run_is_reconciled_as_lost_that_its_target_still_lists() {
     for seed in 0..histories() {
         let system = play(seed);
         assert_eq!(system.runs_unclaimed(), 0, "seed {seed}");
         let violations = system.violations();
-        let is_twice =
+        let is_concurrent =
             |broken: &&JobViolation| matches!(broken, JobViolation::RanConcurrently { .. });
-        let twice = violations.iter().find(is_twice);
-        assert_eq!(twice, None, "seed {seed}");
+        let concurrent = violations.iter().find(is_concurrent);
+        assert_eq!(concurrent, None, "seed {seed}");
     }
 }
--- a/crates/mastknot_virtual/tests/silent_standby.rs
+++ b/crates/mastknot_virtual/tests/silent_standby.rs
@@ -1,4 +1,5 @@
-//! Sides on standby that have gone silent: jobs about which they are asked are not lost to them for long.
+//! Guards against refusing jobs because of silent sides on standby: an entry that asks such a side about a job must not
+//! wait for it for long.
 
 use std::time::Duration;
 
@@ -6,11 +7,11 @@
 use mastknot_virtual::{JobFault, JobFaultPlan, JobSystem, JobSystemSettings};
 
 const SIDES: usize = 12;
-/// Sides that stand still.
-const FROZEN: usize = 4;
-/// When they do, in milliseconds.
-const FROZEN_AT: u64 = 2_000;
-/// A silent link is given up in this time and a new one waited for, in milliseconds.
+/// Number of sides that are paused.
+const PAUSED: usize = 4;
+/// Time at which the sides are paused, in milliseconds.
+const PAUSED_AT: u64 = 2_000;
+/// Time within which a silent link is closed and a new one awaited, in milliseconds.
 const NOTICED_WITHIN: u64 = 500;
 
 #[test]
@@ -24,9 +25,9 @@
             active_links: Some(3),
             seed,
         });
-        let at = Duration::from_millis(FROZEN_AT);
+        let at = Duration::from_millis(PAUSED_AT);
         let time = Duration::from_secs(8);
-        for side in 0..FROZEN {
+        for side in 0..PAUSED {
             let fault = JobFault::PauseSide { side, time };
             system.plan(JobFaultPlan { at, fault });
         }
@@ -35,7 +36,7 @@
             let at = Duration::from_millis(ms);
             let entry = (ms / 20 % 2) as usize;
             let job = system.submit(at, entry, 1, Duration::from_millis(60));
-            if ms > FROZEN_AT + NOTICED_WITHIN {
+            if ms > PAUSED_AT + NOTICED_WITHIN {
                 jobs.push(job);
             }
         }
--- a/crates/mastknot_virtual/tests/stale_clocks.rs
+++ b/crates/mastknot_virtual/tests/stale_clocks.rs
@@ -1,8 +1,8 @@
-//! Targets whose clocks were read long ago.
+//! Guards against holds that are too long because a side read its target's clock long ago.
 //!
-//! A side asks its target to hold runs until a time on the target's clock, which may be slow by two in a hundred. After
-//! half a minute without work the side's reading was half a second ahead, and so were the holds that it asked for: when
-//! the side died then, its target ran on for longer than the entry waits before it starts a task again elsewhere.
+//! A side asks its target to hold runs until a time on the target's clock, which may be slow by two percent. After half
+//! a minute without work the side's estimate of that clock was half a second ahead, and so were the requested holds.
+//! When the side was killed then, its target ran on for longer than the entry waits before it starts a task elsewhere.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_side_that_dies_after_a_quiet_time_leaves_no_run_behind() {
+fn a_side_that_is_killed_after_an_idle_time_leaves_no_run_behind() {
     for seed in 0..40 {
         let mut system = JobSystem::new(JobSystemSettings {
             entries: 1,
--- a/crates/mastknot_virtual/tests/standby_links.rs
+++ b/crates/mastknot_virtual/tests/standby_links.rs
@@ -1,4 +1,4 @@
-//! Entries with more sides than they need: some links are on standby, and are used when they are needed.
+//! Entries with more sides than they need: some links are on standby and are activated when they are needed.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Histories that CI runs; `MASTKNOT_HISTORIES` asks for more.
+/// Number of histories that CI runs; `MASTKNOT_HISTORIES` sets another number.
 const CI_HISTORIES: u64 = 60;
 
 fn ms(ms: u64) -> Duration {
@@ -41,7 +41,8 @@
     assert!(system.violations().is_empty());
 }
 
-/// Heartbeats of 4 entries and 240 sides: 1.8 MB a second with all links in use, 0.59 MB with 64.
+/// Guards against the cost of heartbeats on links that are not needed: 4 entries and 240 sides send 1.8 MB per second
+/// with all links in use, and 0.59 MB with 64 links per entry.
 #[test]
 fn links_on_standby_cost_little() {
     let bytes = |usual_links| {
@@ -54,10 +55,10 @@
 }
 
 #[test]
-fn a_job_that_needs_more_room_gets_it_at_once() {
+fn a_job_that_needs_more_capacity_gets_it_at_once() {
     let mut system = system(2, 40, Some(4), 3);
     system.run_until(ms(1_000));
-    // Four targets hold forty tasks.
+    // Four targets can run forty tasks, so the job needs links that are on standby.
     let wide = system.submit(ms(1_000), 0, 150, ms(400));
     system.run_until(ms(2_500));
     let answers = system.audit().answers_to(wide);
@@ -65,7 +66,11 @@
     assert_eq!(answers[0].answer, JobAnswer::Completed);
     assert!(answers[0].after < ms(900), "{:?}", answers[0].after);
     system.run_until(ms(10_000));
-    assert_eq!(system.active_links(), [4; 2], "given up again");
+    assert_eq!(
+        system.active_links(),
+        [4; 2],
+        "the additional links are on standby again"
+    );
 }
 
 #[test]
@@ -114,9 +119,9 @@
     }
 }
 
-/// Two bursts with a pause in which links go back to standby, and faults at any moment.
+/// Plays two bursts with faults at random times. In the pause between the bursts the links return to standby.
 #[test]
-fn random_histories_keep_the_promises() {
+fn guarantees_hold_under_random_faults() {
     let histories = std::env::var("MASTKNOT_HISTORIES").ok();
     let histories = histories.and_then(|text| text.parse().ok());
     for seed in 0..histories.unwrap_or(CI_HISTORIES) {
--- a/crates/mastknot_virtual/tests/unanswered_stops.rs
+++ b/crates/mastknot_virtual/tests/unanswered_stops.rs
@@ -1,4 +1,5 @@
-//! Targets that leave orders to stop unanswered and carry them out seconds late, while they answer all else.
+//! Guards against concurrent runs on targets that leave stop orders unanswered and carry them out seconds late, while
+//! they answer all other requests.
 
 use std::time::Duration;
 
@@ -24,14 +25,15 @@
     })
 }
 
-/// Jobs of tasks that run for longer than their callers wait: each is answered with 504 and comes again somewhere.
-fn play(mood: TargetBehaviour, seed: u64) -> JobSystem {
+/// Plays jobs whose tasks run for longer than their callers wait: each job is answered with 504 and submitted again to
+/// some entry.
+fn play(behaviour: TargetBehaviour, seed: u64) -> JobSystem {
     let mut system = system(seed);
     for side in 0..SIDES {
         let time = millis(8_000);
         let fault = JobFault::Misbehave {
             side,
-            behaviour: mood,
+            behaviour,
             time,
         };
         let at = millis(500);
@@ -45,32 +47,33 @@
     system
 }
 
-fn ran_twice(system: &JobSystem) -> usize {
+fn count_concurrent_runs(system: &JobSystem) -> usize {
     let violations = system.violations().into_iter();
-    let twice = violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
-    twice.count()
+    let concurrent =
+        violations.filter(|broken| matches!(broken, JobViolation::RanConcurrently { .. }));
+    concurrent.count()
 }
 
 #[test]
-fn a_copy_does_not_run_beside_a_run_whose_stop_is_not_answered() {
+fn a_duplicate_does_not_run_beside_a_run_whose_stop_is_not_answered() {
     let counts: Vec<usize> = (0..10)
-        .map(|seed| ran_twice(&play(TargetBehaviour::StopsLate(1), seed)))
+        .map(|seed| count_concurrent_runs(&play(TargetBehaviour::StopsLate(1), seed)))
         .collect();
     assert_eq!(counts, [0; 10], "tasks that ran twice at once, by seed");
 }
 
 #[test]
 fn stops_of_which_some_are_answered_late_stop_in_time() {
-    let moods = [
+    let behaviours = [
         TargetBehaviour::Healthy,
         TargetBehaviour::StopsLate(2),
         TargetBehaviour::AppliesLate(3),
         TargetBehaviour::LosesAnswers(2),
     ];
-    for mood in moods {
+    for behaviour in behaviours {
         for seed in 0..10 {
-            let twice = ran_twice(&play(mood, seed));
-            assert_eq!(twice, 0, "{mood:?}, seed {seed}");
+            let concurrent = count_concurrent_runs(&play(behaviour, seed));
+            assert_eq!(concurrent, 0, "{behaviour:?}, seed {seed}");
         }
     }
 }
--- a/crates/mastknot_virtual/tests/unequal_speeds.rs
+++ b/crates/mastknot_virtual/tests/unequal_speeds.rs
@@ -1,8 +1,8 @@
-//! Targets that differ in speed.
+//! Guards against placing long tasks on slow targets among targets that differ in speed.
 //!
-//! What callers saw: on a day without any fault, with room free all the time, one in thirteen jobs of the longest kind came
-//! late. What happened: its tasks take nine tenths of a second on a middling target and one and a half on a slow one, which
-//! is all the time that they have. The cause: a target was chosen by how full it was, whatever its speed.
+//! Without any fault and with capacity free all the time, one in thirteen jobs of the longest kind came late. Its tasks
+//! take 0.9 seconds on a target of medium speed and 1.5 seconds on a slow one, which is their whole latency objective.
+//! A target was chosen by its utilisation, whatever its speed.
 
 use std::time::Duration;
 
@@ -14,36 +14,38 @@
 const ENTRIES: usize = 8;
 const SIDES: usize = 53;
 const TARGET_CPU: u32 = 16_000;
-/// Ten tasks of a job of the virtual system fill a target.
+/// Number of tasks of the virtual system that a target runs at once.
 const TASKS_AT_ONCE: f64 = 10.0;
-/// A third of the targets is 2.4 times as fast as the others.
+/// Speeds of the targets in turn, in percent: a third of the targets is 2.4 times as fast as the others.
 const SPEEDS: [u64; 3] = [70, 70, 170];
+/// Mean of [`SPEEDS`], as a factor.
 const MEAN_SPEED: f64 = 1.033;
-/// Links stand and paces are known by then.
+/// Time by which the links are established and the slowdowns known, in milliseconds.
 const SETTLED_MS: u64 = 3_000;
 const END_MS: u64 = 11_000;
-/// Guesses are off by up to this factor either way.
-const GUESS_OFF: f64 = 1.6;
-/// The work of tasks scatters by up to this factor either way.
-const WORK_OFF: f64 = 1.7;
-/// The aim for each kind where room is free.
+/// Largest factor by which an estimate differs from the actual time, in either direction.
+const ESTIMATE_SPREAD: f64 = 1.6;
+/// Largest factor by which the work of a task differs from its kind's mean work, in either direction.
+const WORK_SPREAD: f64 = 1.7;
+/// Required share of jobs in time for each kind while capacity is free.
 const IN_TIME: f64 = 0.985;
 
-/// Tasks of a job, the mean work of each, and its share of all work.
+/// Kinds of jobs: number of tasks, mean work of each in milliseconds, and share of all work.
 const KINDS: [(u16, f64, f64); 3] = [(8, 60.0, 0.21), (4, 900.0, 0.28), (2, 200.0, 0.51)];
 
 struct Job {
     id: JobId,
     kind: usize,
-    /// It is in time within this.
+    /// Time after the submission within which an answer is in time.
     objective: Duration,
 }
 
-fn off_by(rng: &mut StdRng, factor: f64) -> f64 {
+/// Returns a random factor between `1 / factor` and `factor`.
+fn random_factor(rng: &mut StdRng, factor: f64) -> f64 {
     factor.powf(rng.random_range(-1.0..1.0))
 }
 
-/// The share of jobs in time by kind, at a load from 0 to 1 of what the targets bear.
+/// Returns the share of jobs in time by kind, at a load from 0 to 1 of what the targets can run.
 fn in_time(seed: u64, load: f64, speeds: &[u64]) -> [f64; 3] {
     let mut system = JobSystem::new(JobSystemSettings {
         entries: ENTRIES,
@@ -57,17 +59,17 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut jobs = Vec::new();
     for (kind, (tasks, mean_ms, share)) in KINDS.into_iter().enumerate() {
-        let bears = SIDES as f64 * TASKS_AT_ONCE * MEAN_SPEED * 1_000.0;
-        let each_s = load * share * bears / (f64::from(tasks) * mean_ms);
-        let count = (each_s * END_MS as f64 / 1_000.0) as u64;
+        let capacity_ms_per_s = SIDES as f64 * TASKS_AT_ONCE * MEAN_SPEED * 1_000.0;
+        let per_s = load * share * capacity_ms_per_s / (f64::from(tasks) * mean_ms);
+        let count = (per_s * END_MS as f64 / 1_000.0) as u64;
         for _ in 0..count {
             let at = rng.random_range(500..END_MS);
-            let work_ms = mean_ms * off_by(&mut rng, WORK_OFF);
+            let work_ms = mean_ms * random_factor(&mut rng, WORK_SPREAD);
             let work = Duration::from_secs_f64(work_ms / 1_000.0);
             let entry = rng.random_range(0..ENTRIES);
             let queue = format!("kind-{kind}");
             let id = system.submit_to(&queue, Duration::from_millis(at), entry, tasks, work);
-            system.set_estimate(id, work.mul_f64(off_by(&mut rng, GUESS_OFF)));
+            system.set_estimate(id, work.mul_f64(random_factor(&mut rng, ESTIMATE_SPREAD)));
             if at >= SETTLED_MS {
                 let objective = work.mul_f64(1.6) + Duration::from_millis(60);
                 jobs.push(Job {
@@ -90,9 +92,10 @@
     })
 }
 
-/// By fullness alone the long kind has 0.960 of its jobs in time at the lowest of these loads; with this 1.000 at all.
+/// Guards against choosing targets by their utilisation alone: the long kind then had a share of 0.960 in time at the
+/// lowest of these loads, against 1.000 at all loads when speeds are considered.
 #[test]
-fn each_kind_is_in_time_while_room_is_free() {
+fn each_kind_is_in_time_while_capacity_is_free() {
     for load in [0.3, 0.5, 0.7] {
         let shares = in_time(1, load, &SPEEDS);
         assert!(
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn targets_of_equal_speed_are_used_as_before() {
-    let alike = in_time(2, 0.7, &[103]);
-    assert!(alike.iter().all(|share| *share >= IN_TIME), "{alike:.3?}");
+fn each_kind_is_in_time_with_targets_of_equal_speed() {
+    let shares = in_time(2, 0.7, &[103]);
+    assert!(shares.iter().all(|share| *share >= IN_TIME), "{shares:.3?}");
 }
