--- a/crates/mastknot_cli/src/commands/halls.rs
+++ b/crates/mastknot_cli/src/commands/halls.rs
@@ -81,13 +81,16 @@
         let row = halls.entry(text(&item["name"])).or_default();
         row.drained_since_ms = Some(item["value"]["since_ms"].as_u64().unwrap_or_default());
     }
-    let rows: Vec<Value> = halls.iter().map(|(hall, row)| row.to_json(hall)).collect();
+    let rows: Vec<Value> = halls
+        .iter()
+        .map(|(hall, row)| row.resource_json(hall))
+        .collect();
     session.print(&Value::from(rows));
     Ok(Exit::Done)
 }
 
 impl HallRow {
-    fn to_json(&self, hall: &str) -> Value {
+    fn resource_json(&self, hall: &str) -> Value {
         let for_s = self
             .drained_since_ms
             .map(|since| now_ms().saturating_sub(since) / 1_000);
