--- a/crates/mastknot_cli/src/commands/explain_logs/loss_cause.rs
+++ b/crates/mastknot_cli/src/commands/explain_logs/loss_cause.rs
@@ -23,7 +23,7 @@
     CrashesTargets,
     /// All tasks started in time, but a task or its target was slow.
     SlowRun,
-    /// The entry stopped or hung before it answered.
+    /// The entry stopped or was suspended before it answered.
     NoAnswer,
     /// The caller disconnected before the answer.
     CallerDisconnected,
--- a/crates/mastknot_cli/src/exit.rs
+++ b/crates/mastknot_cli/src/exit.rs
@@ -15,7 +15,7 @@
     NotFound = 4,
     /// The timeout of `wait` passed before the configuration was in force.
     NotYet = 5,
-    /// It is unknown whether the write took effect, because the store did not answer.
+    /// The outcome of the write is unknown, because the store did not answer.
     Undecided = 6,
     /// The version is too old to resume from; the client must list the resources again.
     TooOld = 7,
--- a/crates/mastknot_core/src/admission/start_rate.rs
+++ b/crates/mastknot_core/src/admission/start_rate.rs
@@ -9,7 +9,7 @@
 
 /// Number of waiting tasks that an entry starts per second while it has a queue.
 ///
-/// Starts without a wait are not counted, because they say nothing about the capacity.
+/// Starts without a wait are not counted, because they give no information about the capacity.
 ///
 /// # Examples
 ///
--- a/crates/mastknot_core/src/agent/agent_decision.rs
+++ b/crates/mastknot_core/src/agent/agent_decision.rs
@@ -26,7 +26,7 @@
     RunEnded {
         /// Run that ended.
         run: RunId,
-        /// How the run ended.
+        /// Outcome of the run.
         end: EndOfRun,
         /// Time since the run was ordered, in milliseconds.
         ran_ms: u32,
--- a/crates/mastknot_core/src/agent/agent_event.rs
+++ b/crates/mastknot_core/src/agent/agent_event.rs
@@ -131,21 +131,21 @@
         /// Incarnation that shut down.
         target: TargetId,
     },
-    /// An order to start a run has an outcome.
+    /// The call of the target with an order to start a run has ended, with an answer or without one.
     OrderAnswered {
         /// Run that was ordered.
         run: RunId,
         /// Outcome of the order.
         outcome: OrderOutcome,
     },
-    /// An order to stop a run has an outcome.
+    /// The call of the target with an order to stop a run has ended, with an answer or without one.
     StopAnswered {
         /// Run that was to be stopped.
         run: RunId,
         /// Whether the target acknowledged the order.
         is_acknowledged: bool,
     },
-    /// A probe has an outcome.
+    /// A probe of the target has ended, with an answer or without one.
     Probed {
         /// Number of the probe.
         number: u64,
--- a/crates/mastknot_core/src/agent/dial_backoff.rs
+++ b/crates/mastknot_core/src/agent/dial_backoff.rs
@@ -6,7 +6,7 @@
 /// its return is noticed soon.
 const MAX_AFTER_FAILURE: Duration = Duration::from_millis(100);
 /// Upper bound of the pause after short links, for which the handshake and the settling of runs
-/// cost more than the link was worth.
+/// cost more than the link saved.
 const MAX_AFTER_SHORT_LINK: Duration = Duration::from_secs(2);
 /// Lifetime from which a link is long enough to justify its handshake.
 const MIN_STEADY_LINK: Duration = Duration::from_secs(2);
@@ -35,7 +35,7 @@
         pause.mul_f64(jitter)
     }
 
-    /// Returns the pause after a link that was open for `stood`. `jitter` is a random factor from
+    /// Returns the pause after a link that was open for `open_for`. `jitter` is a random factor from
     /// 0.5 to 1.5.
     pub fn after_link(&mut self, stood: Duration, jitter: f64) -> Duration {
         if stood >= MIN_STEADY_LINK {
--- a/crates/mastknot_core/src/agent/learning.rs
+++ b/crates/mastknot_core/src/agent/learning.rs
@@ -23,7 +23,7 @@
         self.document.as_ref().map_or(0, |held| held.version)
     }
 
-    /// Takes in an update in which an entry announces what it holds.
+    /// Handles an update in which an entry announces what it holds.
     pub(super) fn apply_update(&mut self, session: SessionId, update: EntryUpdate) {
         self.fetch.record_offer(session, update.config_version);
         self.directory.announce(session, update.directory);
--- a/crates/mastknot_core/src/agent/offers.rs
+++ b/crates/mastknot_core/src/agent/offers.rs
@@ -42,7 +42,7 @@
 }
 
 impl CapacityOffer {
-    /// Creates an offer that the entry has not been told of yet.
+    /// Creates an offer that has not been reported to the entry yet.
     pub(super) fn new(left: Capacity, until: Moment, is_needed: bool) -> Self {
         Self {
             number: 0,
--- a/crates/mastknot_core/src/agent/owners.rs
+++ b/crates/mastknot_core/src/agent/owners.rs
@@ -36,7 +36,7 @@
     pub(crate) condition: TargetCondition,
     pub(crate) is_cold: bool,
     pub(crate) target: Option<TargetProfile>,
-    /// Whether the report said that tasks wait at this side.
+    /// Whether the report stated that tasks wait at this side.
     pub(crate) has_waiting: bool,
 }
 
@@ -159,8 +159,8 @@
         newest
     }
 
-    /// Records that the runs of an earlier link are settled and the entry is told which runs
-    /// continue.
+    /// Records that the runs of an earlier link are settled and the entry is sent the list of
+    /// runs that continue.
     pub(crate) fn record_resumed(&mut self) {
         self.is_resumed = true;
         self.first_after_resume = self.next_number;
@@ -171,7 +171,7 @@
         self.has_read_resume
     }
 
-    /// Returns whether capacity is reserved for the entry that has not been reported to it yet.
+    /// Returns whether the side has reserved capacity for the entry and not yet reported the offer.
     pub(crate) fn has_unreported_offer(&self) -> bool {
         self.offer.is_some_and(|offer| offer.number == 0)
     }
--- a/crates/mastknot_core/src/agent/target_agent.rs
+++ b/crates/mastknot_core/src/agent/target_agent.rs
@@ -135,7 +135,7 @@
 }
 
 impl TargetAgent {
-    /// Creates an agent that knows nothing about its target yet.
+    /// Creates an agent without any information about its target.
     pub fn new(settings: AgentSettings) -> Self {
         let first_choice = stable_hash(&[&settings.side]) as usize;
         Self {
--- a/crates/mastknot_core/src/dispatch/dispatch_effect.rs
+++ b/crates/mastknot_core/src/dispatch/dispatch_effect.rs
@@ -2,7 +2,7 @@
 use crate::message::{Demand, EntryMessage, Refusal, SideCredit, SubmissionAnswer};
 use crate::types::{NodeName, SubmissionKey};
 
-/// How a submission ended at the dispatcher.
+/// Outcome of a submission at the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmissionOutcome {
     /// The submission has its final answer.
@@ -39,7 +39,7 @@
     Ended {
         /// Key of the submission.
         key: SubmissionKey,
-        /// How the submission ended.
+        /// Outcome of the submission.
         outcome: SubmissionOutcome,
     },
     /// Record a decision, so that operators can look up later why it was made.
--- a/crates/mastknot_core/src/dispatch/fair_queue.rs
+++ b/crates/mastknot_core/src/dispatch/fair_queue.rs
@@ -412,7 +412,7 @@
         removed
     }
 
-    /// Changes a team's queue and updates the team's position on the level.
+    /// Changes a team's queue and updates the team's place in the order of all teams.
     fn update_team<R>(&mut self, team: &NodeName, change: impl FnOnce(&mut TeamQueue) -> R) -> R {
         let queue = self.teams.entry(team.clone()).or_insert_with(|| TeamQueue {
             weight: 1,
--- a/crates/mastknot_core/src/entry/entry_event.rs
+++ b/crates/mastknot_core/src/entry/entry_event.rs
@@ -68,7 +68,7 @@
         /// Identity of the peer.
         peer: MemberId,
     },
-    /// An incarnation of a peer is proven dead.
+    /// The process of an incarnation of a peer is known to have ended.
     PeerDead {
         /// Identity of the peer.
         peer: MemberId,
--- a/crates/mastknot_core/src/job/attempt_numbers.rs
+++ b/crates/mastknot_core/src/job/attempt_numbers.rs
@@ -10,14 +10,14 @@
 /// A job that is submitted again through another entry must get higher numbers than its earlier
 /// submission, or a target refuses them as old. The first number is therefore taken from the wall
 /// clock at the arrival of the job. When a target still refuses a number as old, the next number is
-/// raised by one minute's worth of numbers.
+/// raised by the numbers of one minute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptNumbers {
     next: u64,
 }
 
-/// Amount by which the next number is raised after a target has refused one as old: one minute's
-/// worth of numbers.
+/// Amount by which the next number is raised after a target has refused one as old: the numbers
+/// of one minute.
 const RAISE_AFTER_OLD: u64 = 60_000 / STEP_MS;
 
 impl AttemptNumbers {
--- a/crates/mastknot_core/src/job/lease_terms.rs
+++ b/crates/mastknot_core/src/job/lease_terms.rs
@@ -17,7 +17,7 @@
 pub struct LeaseTerms {
     /// Time between two heartbeats of one link.
     pub heartbeat: Duration,
-    /// Time without the entry confirming a newer report after which the side stops the entry's
+    /// Time after the report that an entry confirmed last, after which the side stops the entry's
     /// runs.
     pub entry_lease: Duration,
     /// Time for which a target keeps running after the last confirmed report.
--- a/crates/mastknot_core/src/message/answer.rs
+++ b/crates/mastknot_core/src/message/answer.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// Nothing of it started; this is certain.
+    /// The work is certain not to have started.
     NotRun,
-    /// All of it ran.
+    /// All of the work ran.
     Ran,
-    /// Some of it may have run.
+    /// Some of the work may have run.
     Unknown,
 }
 
--- a/crates/mastknot_core/src/message/peer_message.rs
+++ b/crates/mastknot_core/src/message/peer_message.rs
@@ -89,7 +89,7 @@
     },
     /// Question of a new holder to an earlier one about a key.
     AskKey {
-        /// Number that matches the answer to the question.
+        /// Number of the question, which the answer repeats.
         request: u64,
         /// Roster version of the asker.
         version: u64,
@@ -104,7 +104,7 @@
     KeyKnown {
         /// Number of the question.
         request: u64,
-        /// What the earlier holder knows of the key.
+        /// State of the key at the earlier holder.
         status: KeyStatus,
     },
     /// Finished submissions of an entry that is stopping.
--- a/crates/mastknot_core/src/profile/mod.rs
+++ b/crates/mastknot_core/src/profile/mod.rs
@@ -1,7 +1,7 @@
 //! Storage of learned values beyond the lifetime of the processes: when they are written and by
 //! which entry, and how the store's answers are handled.
 //!
-//! - [`profile_update`]: whether a change is worth a write
+//! - [`profile_update`]: whether a change justifies a write
 //! - [`ProfileWriteSchedule`]: which entry writes, and when
 //! - [`ProfileLedger`]: `next(now, offer) -> call`, and the handling of the call's result
 
--- a/crates/mastknot_core/src/profile/profile_update.rs
+++ b/crates/mastknot_core/src/profile/profile_update.rs
@@ -3,7 +3,7 @@
 
 use crate::job::{LearnedProfile, LearnedRunTimes, LearnedSlowdown, TaskKind};
 
-/// Number of runs from which a prior is worth storing; with fewer it is not used either.
+/// Number of runs from which a prior is stored; with fewer it is not used either.
 const MIN_RUNS: u32 = 16;
 /// Factor between two mean run times from which they count as different. A mean that is off by this
 /// factor sends work to the wrong targets.
@@ -11,7 +11,7 @@
 /// Age after which unchanged priors are written again, because they count less the older they are.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(60 * 60);
 
-/// Kind of a change to an entry's learned values that is worth a write.
+/// Kind of a change to an entry's learned values that justifies a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProfileUpdate {
     /// Slowdowns or run times. Without them, work goes to less suitable targets for some dozens of
@@ -22,7 +22,7 @@
 }
 
 /// Returns the kind of change between an entry's own values and those that were last read or
-/// written, or `None` if it is not worth a write.
+/// written, or `None` if the change does not justify a write.
 ///
 /// An entry without ranked queues passes false for `owns_slowdowns`, since its slowdowns were
 /// learned by other entries.
--- a/crates/mastknot_core/src/profile/profile_write_schedule.rs
+++ b/crates/mastknot_core/src/profile/profile_write_schedule.rs
@@ -15,7 +15,7 @@
 /// Time after which the next entry writes a suspect that the entries before it have not written.
 const SUSPECT_TAKEOVER_TIME: Duration = Duration::from_secs(30);
 /// Time after which the next entry writes slowdowns or run times that the entries before it have
-/// not written. Entries that have seen different runs always differ a little, which is worth an
+/// not written. Entries that have seen different runs always differ a little, which justifies an
 /// occasional write.
 const SLOWDOWN_TAKEOVER_TIME: Duration = Duration::from_secs(5 * 60);
 
--- a/crates/mastknot_core/src/roster/membership.rs
+++ b/crates/mastknot_core/src/roster/membership.rs
@@ -100,7 +100,7 @@
         store_deadline.map_or(renew, |store_deadline| renew.min(store_deadline.max(now)))
     }
 
-    /// Does what has become due: renewals, proposals and requests to join.
+    /// Performs the actions that are due: renewals, proposals and requests to join.
     pub fn tick(&mut self, now: Now, out: &mut Vec<MembershipEffect>) {
         self.record_stopped(now);
         let renew_due = self
--- a/crates/mastknot_core/src/roster/mod.rs
+++ b/crates/mastknot_core/src/roster/mod.rs
@@ -1,4 +1,4 @@
-//! Which entry holds a key, and whether it may accept new ones.
+//! Assignment of keys to entries, and the authority of an entry to accept new keys.
 
 mod acceptance;
 mod accepting;
--- a/crates/mastknot_core/src/scheduler/containment.rs
+++ b/crates/mastknot_core/src/scheduler/containment.rs
@@ -23,7 +23,7 @@
 /// A kind of tasks that has crashed targets.
 #[derive(Clone, Debug)]
 struct SuspectKind {
-    /// How long a task of the kind ran until its target crashed.
+    /// Time for which a task of the kind ran until its target crashed.
     time_to_crash: Duration,
     /// Share of the targets that the kind may use, from 0 to 1.
     target_share: f64,
@@ -36,7 +36,7 @@
     successes: u32,
     /// Number of runs that have completed since the last crash while the kind was contained.
     successes_since_crash: u32,
-    /// When the kind was released, or `None` while it is contained.
+    /// Time at which the kind was released, or `None` while it is contained.
     released_at: Option<Moment>,
 }
 
--- a/crates/mastknot_core/src/scheduler/demand_forecast.rs
+++ b/crates/mastknot_core/src/scheduler/demand_forecast.rs
@@ -28,7 +28,7 @@
     pub(super) placed_mean: PlacedMean,
     pub(super) errors: ForecastErrors,
     pub(super) retries: RetrySchedule,
-    /// When the waiting jobs were last reviewed.
+    /// Time of the last review of the waiting jobs.
     pub(super) reviewed_at: Moment,
     /// Whether a job has arrived since the last review.
     pub(super) has_new_job: bool,
--- a/crates/mastknot_core/src/scheduler/job_forecast.rs
+++ b/crates/mastknot_core/src/scheduler/job_forecast.rs
@@ -15,7 +15,7 @@
 pub(crate) struct JobForecast {
     /// Whether the job has been reviewed at least once.
     pub(crate) is_reviewed: bool,
-    /// Since when every review has denied the job.
+    /// Start of the period in which every review has denied the job, or `None` if the last review has not.
     denied_since: Option<Moment>,
     /// Forecast of the first review, kept until it is compared with the actual wait.
     pub(crate) first_forecast: Option<ForecastWait>,
--- a/crates/mastknot_core/src/scheduler/order_key.rs
+++ b/crates/mastknot_core/src/scheduler/order_key.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// Head start of a caller that returns at the time that it was told. It goes before callers of its priority that came
+/// Head start of a caller that returns at its retry time. It goes before callers of its priority that came
 /// up to this much later.
 const RETURNING_HEAD_START: Duration = Duration::from_millis(200);
 
--- a/crates/mastknot_core/src/scheduler/relaying.rs
+++ b/crates/mastknot_core/src/scheduler/relaying.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Notifies the sides that hold the configuration of a new version at once, also on standby.
+    /// Announces a new configuration version at once, also on standby links, to the sides that keep the configuration
+    /// for others.
     fn notify_document_holders(&mut self) {
         for side in self.sides.values_mut() {
             side.needs_heartbeat |= side.holds_documents;
@@ -76,7 +77,7 @@
         for (name, side) in &mut self.sides {
             let holds = ranked.iter().any(|(_, holder)| holder == name);
             // Without this heartbeat, a side on standby that no longer holds the configuration would learn of it only
-            // after it has fetched a version in vain.
+            // after it has fetched a version without need.
             side.needs_heartbeat |= holds != side.holds_documents;
             side.holds_documents = holds;
         }
--- a/crates/mastknot_core/src/scheduler/reviewing.rs
+++ b/crates/mastknot_core/src/scheduler/reviewing.rs
@@ -65,8 +65,8 @@
         })
     }
 
-    /// Records a new job as arriving work. The job goes before newer ones if its caller has returned at the time that
-    /// it was told.
+    /// Records a new job as arriving work. The job goes before newer ones if its caller has returned at its retry
+    /// time.
     pub(super) fn record_arrival(&mut self, now: Moment, job: &mut ActiveJob) {
         if !job.policy.is_ranked || !self.settings.scarcity.forecast {
             return;
@@ -173,7 +173,7 @@
         };
         let forecast = self.forecast_of(now, view, key, job, ahead);
         let mut input = self.admission_input(now, job, forecast);
-        // The search for capacity is only worth its cost for a job that is denied otherwise.
+        // The search for capacity is expensive, so it is made only for a job that is denied otherwise.
         if Admission::of(&input) != Admission::Wait {
             input.has_room = self.has_room_for(now, job);
         }
--- a/crates/mastknot_core/src/scheduler/run_at_crash.rs
+++ b/crates/mastknot_core/src/scheduler/run_at_crash.rs
@@ -16,7 +16,7 @@
     pub(crate) kind: TaskKind,
     /// Time of the crash.
     pub(crate) crashed_at: Moment,
-    /// How long the run had lasted, as far as its side knows.
+    /// Time for which the run had lasted at the crash, as far as its side knows.
     pub(crate) time_to_crash: Duration,
     /// Whether the target is known to have started the run.
     pub(crate) has_begun: bool,
--- a/crates/mastknot_core/src/scheduler/scheduler_counters.rs
+++ b/crates/mastknot_core/src/scheduler/scheduler_counters.rs
@@ -15,7 +15,7 @@
     pub jobs_refused_at_arrival: u64,
     /// Jobs that were refused because the forecast denied them while they waited; included in `jobs_refused`.
     pub jobs_refused_while_waiting: u64,
-    /// Jobs that were submitted again after a refusal, at the time that their callers were told.
+    /// Jobs that were submitted again after a refusal, at the retry time in that refusal.
     pub jobs_returned: u64,
     /// Jobs that were given up after a task may have run.
     pub jobs_timed_out: u64,
--- a/crates/mastknot_core/src/scheduler/scheduler_decision.rs
+++ b/crates/mastknot_core/src/scheduler/scheduler_decision.rs
@@ -82,7 +82,7 @@
         request_id: Arc<str>,
         /// Side on which the run ended.
         side: NodeName,
-        /// How the run ended.
+        /// Outcome of the run.
         end: EndOfRun,
         /// Number of failures that count against the task.
         failures: u32,
@@ -171,7 +171,7 @@
         free_cpu_millis: u32,
         /// Age of the oldest report that was used, in milliseconds.
         view_age_ms: u64,
-        /// Time after which the caller is told to retry, in milliseconds.
+        /// Time after which the caller is asked to retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// All waiting tasks of a job with a forecast wait are placed.
--- a/crates/mastknot_core/src/scheduler/scheduler_settings.rs
+++ b/crates/mastknot_core/src/scheduler/scheduler_settings.rs
@@ -41,7 +41,7 @@
     /// Fraction of the latency objective, or of the caller's time if that is shorter, after which a job is refused if
     /// none of its tasks has started.
     pub start_timeout_share: f64,
-    /// Time after which a refused caller is told to retry.
+    /// Time after which a refused caller is asked to retry.
     pub retry_after: Duration,
     /// Whether each job is claimed at sides before its first start. Claims are needed where another entry may receive
     /// the same job.
--- a/crates/mastknot_core/src/scheduler/side_view.rs
+++ b/crates/mastknot_core/src/scheduler/side_view.rs
@@ -49,7 +49,7 @@
     pub(crate) rank: u32,
     /// Time until which the side must send a message after it was asked about a job; its link counts as silent then.
     pub(crate) answer_due: Option<Moment>,
-    /// When the last link to the side was lost.
+    /// Time at which the last link to the side was lost.
     pub(crate) lost_at: Moment,
     /// Time until which the side is expected to connect again. Until then no job that it is asked about is claimed at
     /// another side instead.
@@ -69,11 +69,11 @@
     pub(crate) is_resumed: bool,
     /// Whether the side grants claims of jobs that this entry has not been granted before.
     pub(crate) takes_claims: bool,
-    /// When the last message was received from the side, or when the link was attached or activated after that.
+    /// Time at which the last message was received from the side, or at which the link was attached or activated since.
     pub(crate) last_received_at: Moment,
     /// Highest number of a status report on this link, or 0 before the first one.
     pub(crate) last_report_number: u64,
-    /// When the last heartbeat was sent to the side.
+    /// Time at which the last heartbeat was sent to the side.
     pub(crate) heartbeat_sent_at: Moment,
     /// Whether the side is one of those that hold the configuration for others.
     pub(crate) holds_documents: bool,
@@ -91,7 +91,7 @@
     pub(crate) reserved_for: Option<TaskKind>,
     /// Last known isolation trial at the side.
     pub(crate) trial: Option<SideTrial>,
-    /// When this entry last ordered a start there.
+    /// Time at which this entry last ordered a start at the side.
     pub(crate) last_start: Moment,
     /// Capacity required by the last start.
     pub(crate) last_start_capacity: Capacity,
--- a/crates/mastknot_core/src/scheduler/submitting.rs
+++ b/crates/mastknot_core/src/scheduler/submitting.rs
@@ -191,8 +191,8 @@
     }
 
     /// Refuses jobs that have found no capacity for a considerable part of their objective. Most of them would be held
-    /// in vain, and their callers could retry instead. Jobs that the forecast decides on are left to it, as it is more
-    /// accurate.
+    /// without ever starting, and their callers could retry instead. Jobs that the forecast decides on are left to it,
+    /// as it is more accurate.
     pub(super) fn expire_start_timeouts(&mut self, now: Moment) {
         while let Some((at, id)) = self.start_timeouts.first().copied() {
             if at > now {
--- a/crates/mastknot_core/tests/changing_room.rs
+++ b/crates/mastknot_core/tests/changing_room.rs
@@ -139,8 +139,8 @@
     assert_eq!(ends(&effects), [NO_CAPACITY]);
 }
 
-/// After a restart a side used to learn from its entries and from the store the capacity from before the target
-/// shrank.
+/// Guards against an outdated capacity: after a restart, a side used to receive from its entries and from the store the
+/// capacity that the target had before it shrank.
 #[test]
 fn entries_and_the_store_receive_each_change() {
     let mut side = Side::ready();
--- a/crates/mastknot_core/tests/crash_evidence.rs
+++ b/crates/mastknot_core/tests/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence that crashes of targets give about the tasks that ran there, and about the kinds of these tasks.
+//! Evidence from crashes of targets against the tasks that ran there, and against the kinds of these tasks.
 
 mod common;
 
@@ -255,8 +255,8 @@
     }
 }
 
-/// After a restart of all processes, jobs of healthy kinds used to be refused: a contained kind got other targets
-/// than before and crashed them, while those that it had crashed earlier were still down.
+/// Guards against refusals of jobs of healthy kinds after a restart of all processes: a contained kind got other
+/// targets than before and crashed them, while those that it had crashed earlier were still down.
 #[test]
 fn the_reserved_sides_of_a_kind_survive_a_restart_of_all_processes() {
     let (_, bad) = kinds();
--- a/crates/mastknot_core/tests/crash_suspects.rs
+++ b/crates/mastknot_core/tests/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! How an entry attributes crashes of targets to tasks, and how sides keep suspects apart.
+//! Attribution of crashes of targets to tasks by entries, and separation of suspects by sides.
 
 mod common;
 
--- a/crates/mastknot_core/tests/held_grants.rs
+++ b/crates/mastknot_core/tests/held_grants.rs
@@ -1,4 +1,4 @@
-//! How an entry uses and returns capacity that sides grant to it.
+//! Use and return of the capacity that sides grant to an entry.
 
 mod common;
 
--- a/crates/mastknot_core/tests/linked_again.rs
+++ b/crates/mastknot_core/tests/linked_again.rs
@@ -5,7 +5,7 @@
 use common::side::*;
 use mastknot_core::agent::{AgentEffect, AgentEvent, TargetRunning, TargetView};
 
-/// Returns the end of the hold that a probe requests.
+/// Returns the time on the target's clock until which a probe asks the target to keep its runs, in milliseconds.
 fn hold(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         AgentEffect::Probe { hold_until_ms, .. } => *hold_until_ms,
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -43,7 +43,7 @@
     hall: &'static str,
     /// Share of all pieces that the hall requests.
     share: f64,
-    /// The hall can use only every `each`-th piece.
+    /// Interval between the pieces that the hall can use: 1 for all pieces, 2 for every second piece.
     each: u64,
 }
 
--- a/crates/mastknot_core/tests/side_learning.rs
+++ b/crates/mastknot_core/tests/side_learning.rs
@@ -1,5 +1,5 @@
-//! How a side learns the list of entries, which entries announce by digest and the side requests from one of them at
-//! a time; and when a reactivated link accepts starts.
+//! Transfer of the list of entries to a side: entries announce the list by digest, and the side requests it from one of
+//! them at a time. Also the moment from which a reactivated link accepts starts.
 
 mod common;
 
@@ -139,7 +139,7 @@
     assert_eq!(versions.collect::<Vec<u64>>(), [7]);
 }
 
-/// When a fleet starts, each of 55 entries would otherwise exchange hellos with 240 sides at the same moment.
+/// Otherwise, when a fleet starts, each of 55 entries would exchange hellos with 240 sides at the same moment.
 #[test]
 fn of_many_entries_only_the_likely_ones_are_dialed_at_once() {
     let few = DialOrder::new(&"side-1".into(), &entries(16));
--- a/crates/mastknot_core/tests/target_crashes.rs
+++ b/crates/mastknot_core/tests/target_crashes.rs
@@ -1,4 +1,4 @@
-//! How a side distinguishes a crash of its target from other ways in which runs are lost.
+//! Detection of a crash of a target by its side, as opposed to other losses of runs.
 
 mod common;
 
@@ -72,7 +72,7 @@
     assert_eq!(crashes(&effects).len(), 1);
 }
 
-/// A start that reaches a target that has just died is refused at once. When such refusals were counted with
+/// A start that reaches a target that has just crashed is refused at once. When such refusals were counted with
 /// unanswered probes, the target appeared silent, and its crash gave no evidence about the task that had caused it.
 #[test]
 fn a_refused_start_does_not_count_as_silence() {
@@ -99,7 +99,7 @@
     }
 }
 
-/// The target died at some time after its last message, long before that became visible.
+/// The target crashed at some time after its last message, long before the crash was detected.
 #[test]
 fn a_crash_that_only_the_next_call_reveals_has_no_known_time() {
     let (mut side, _) = busy();
--- a/crates/mastknot_core/tests/target_lives.rs
+++ b/crates/mastknot_core/tests/target_lives.rs
@@ -97,7 +97,7 @@
     assert_eq!(target_name(&side), "target-2");
 }
 
-/// After a crash that nothing else reveals, the next incarnation must not wait forever.
+/// Guards against an incarnation that waits forever because no other sign shows that the previous one has crashed.
 #[test]
 fn a_silent_incarnation_without_runs_is_replaced() {
     let mut side = Side::ready();
--- a/crates/mastknot_core/tests/target_pace.rs
+++ b/crates/mastknot_core/tests/target_pace.rs
@@ -1,4 +1,4 @@
-//! How soon a side detects that its target is slow, and how much work the target then gets.
+//! Time until a side detects that its target is slow, and the work that the target then gets.
 
 mod common;
 
--- a/crates/mastknot_core/tests/wrong_memory.rs
+++ b/crates/mastknot_core/tests/wrong_memory.rs
@@ -54,7 +54,7 @@
     }])
 }
 
-/// Returns the runs that entries are told continue.
+/// Returns the runs that are reported to entries as continuing.
 fn resumed(effects: &[AgentEffect]) -> Option<Vec<RunId>> {
     effects.iter().find_map(|effect| match effect {
         AgentEffect::Send {
--- a/crates/mastknot_runtime/src/shared_store/profile_holder.rs
+++ b/crates/mastknot_runtime/src/shared_store/profile_holder.rs
@@ -4,7 +4,8 @@
 use mastknot_core::job::LearnedProfile;
 use mastknot_core::profile::ProfileOffer;
 
-/// Holder of a learned profile: an entry, which learns from its own runs and uses what others have learned.
+/// Access to the learned profile of an entry, which contains values from the entry's own runs and values that other
+/// entries have stored.
 pub trait ProfileHolder: Send + Sync + 'static {
     /// Returns the profile to write, if it differs enough from the profile that is `known` to be stored.
     fn offer(
--- a/crates/mastknot_virtual/src/faults/mod.rs
+++ b/crates/mastknot_virtual/src/faults/mod.rs
@@ -109,9 +109,9 @@
 /// Fault that affects a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// The process dies.
+    /// The process is killed.
     Dies,
-    /// The process dies and starts again after this time.
+    /// The process is killed and starts again after this time.
     Restarts(Duration),
     /// The process is paused for this time and then resumes.
     Pauses(Duration),
--- a/crates/mastknot_virtual/src/jobs/callers.rs
+++ b/crates/mastknot_virtual/src/jobs/callers.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Makes all callers of a job leave for good, so that the job is not submitted again. The entry notices
-    /// this at once, or when it resumes; a dead entry never notices.
+    /// Makes all callers of a job leave permanently, so that the job is not submitted again. The entry detects
+    /// this at once, or when it resumes; a dead entry never detects it.
     pub(super) fn callers_leave(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.has_left = true;
--- a/crates/mastknot_virtual/src/jobs/fault_handling.rs
+++ b/crates/mastknot_virtual/src/jobs/fault_handling.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Marks the callers of a paused entry, because they may miss their answers.
+    /// Records for all callers of an entry that a pause of the entry may have cost them their answers.
     pub(super) fn disturb_callers(&mut self, entry: usize) {
         let disturbed = self
             .callers
--- a/crates/mastknot_virtual/src/jobs/job_faults.rs
+++ b/crates/mastknot_virtual/src/jobs/job_faults.rs
@@ -90,7 +90,7 @@
         /// Duration of the fault.
         time: Duration,
     },
-    /// A target dies with all its runs and starts again as a new incarnation.
+    /// A target crashes with all its runs and starts again as a new incarnation.
     CrashTarget {
         /// Index of the target's side.
         side: usize,
--- a/crates/mastknot_virtual/src/jobs/job_system.rs
+++ b/crates/mastknot_virtual/src/jobs/job_system.rs
@@ -128,7 +128,7 @@
     pub(super) clocks_stop_during_suspension: bool,
     /// Whether the reports of targets always state their initial capacity.
     pub(super) hides_resizes: bool,
-    /// Whether targets keep their names over a restart, and how incarnations are told apart.
+    /// Whether targets keep their names over a restart, and how incarnations are distinguished.
     pub(super) target_naming: TargetNaming,
     /// Speeds in percent, assigned to the targets in turn; empty if all targets are alike.
     pub(super) speeds: Vec<u64>,
--- a/crates/mastknot_virtual/src/jobs/variants.rs
+++ b/crates/mastknot_virtual/src/jobs/variants.rs
@@ -30,13 +30,13 @@
         self.set_target_naming(TargetNaming::KeptWithStartTime);
     }
 
-    /// Makes targets keep their names without a report of their start times, so that incarnations are told
-    /// apart by name alone.
+    /// Makes targets keep their names without a report of their start times, so that incarnations are distinguished
+    /// by name alone.
     pub fn omit_start_times(&mut self) {
         self.set_target_naming(TargetNaming::KeptWithoutStartTime);
     }
 
-    /// Makes targets keep their names, and incarnations be told apart by the numbers of reports alone.
+    /// Makes targets keep their names, and incarnations be distinguished by the numbers of reports alone.
     pub fn infer_restarts_from_report_numbers(&mut self) {
         self.set_target_naming(TargetNaming::KeptWithReportNumbers);
     }
--- a/crates/mastknot_virtual/tests/fault_matrix.rs
+++ b/crates/mastknot_virtual/tests/fault_matrix.rs
@@ -193,7 +193,7 @@
     }
 }
 
-/// Ends a fault that lasts.
+/// Ends a fault that continues until it is ended. Other faults are single events.
 fn end(system: &mut VirtualSystem, fault: Fault) {
     match fault {
         Fault::StoreDown => system.store.faults.is_down = false,
--- a/crates/mastknot_virtual/tests/forecast.rs
+++ b/crates/mastknot_virtual/tests/forecast.rs
@@ -31,8 +31,8 @@
     profile: true,
 };
 
-/// Plays a burst of `times` what the targets can run, on top of the usual load. Refused callers return up to `returns`
-/// times.
+/// Plays the usual load and a burst of `times` as much work as the targets can run. Refused callers return up to
+/// `returns` times.
 fn burst(times: f64, returns: u32) -> Simulation {
     let mut simulation = Simulation::with_scarcity(MIDDLE, FORECAST);
     simulation.system.set_max_returns(returns);
--- a/crates/mastknot_virtual/tests/learned_profile.rs
+++ b/crates/mastknot_virtual/tests/learned_profile.rs
@@ -257,7 +257,7 @@
     assert_eq!(profiles_read(&system), [1; ENTRIES]);
 }
 
-/// When the entry that writes first is disconnected, another entry writes. The first one reads that document once it is
+/// Another entry writes while the entry that writes first is disconnected. The first one reads that document once it is
 /// connected again.
 #[test]
 fn another_entry_writes_when_the_first_does_not() {
--- a/crates/mastknot_virtual/tests/linked_again.rs
+++ b/crates/mastknot_virtual/tests/linked_again.rs
@@ -37,7 +37,7 @@
     JobFaultPlan { at, fault }
 }
 
-/// Plays a link that breaks and is opened again. Nothing arrives at the entry from `again` after that on.
+/// Plays a link that breaks and is opened again. From `again` after that moment, no message arrives at the entry.
 fn play(again: Duration, seed: u64) -> JobSystem {
     let mut system = system(seed);
     system.submit(millis(1_500), 0, 6, millis(1_900));
