--- a/crates/mastknot_core/src/agent/dial_backoff.rs
+++ b/crates/mastknot_core/src/agent/dial_backoff.rs
@@ -37,8 +37,8 @@
 
     /// Returns the pause after a link that was open for `open_for`. `jitter` is a random factor from
     /// 0.5 to 1.5.
-    pub fn after_link(&mut self, stood: Duration, jitter: f64) -> Duration {
-        if stood >= MIN_STEADY_LINK {
+    pub fn after_link(&mut self, open_for: Duration, jitter: f64) -> Duration {
+        if open_for >= MIN_STEADY_LINK {
             self.pause = FIRST_PAUSE;
         }
         let pause = self.pause;
--- a/crates/mastknot_core/src/agent/entry_links.rs
+++ b/crates/mastknot_core/src/agent/entry_links.rs
@@ -32,14 +32,14 @@
         let has_runs = self.runs.has_any_of(&key);
         let owner = Owner::new(handshake.hello_sent);
         let owner = self.owners.entry(key.clone()).or_insert(owner);
-        let replaced = owner.session.take();
+        let replaced_session = owner.session.take();
         owner.take_session(session, handshake.hello_sent, has_runs);
         owner.drained_revision = drained_revision;
         owner.grants_capacity = grants_capacity;
         owner.hall = hall;
         self.sessions.insert(session, key);
         self.learn_shares(session, &update);
-        if let Some(replaced) = replaced {
+        if let Some(replaced) = replaced_session {
             self.sessions.swap_remove(&replaced);
             self.forget_link(replaced);
             self.effects.push(AgentEffect::Close { session: replaced });
--- a/crates/mastknot_core/src/agent/granting.rs
+++ b/crates/mastknot_core/src/agent/granting.rs
@@ -240,13 +240,13 @@
                 false => StartDecision::Wait { until },
             };
         }
-        let own = offer.map(|offer| offer.left).unwrap_or_default();
+        let offered = offer.map(|offer| offer.left).unwrap_or_default();
         let free = self.free_capacity().without(&self.queued.capacity());
-        if free.covers(capacity) && self.unreserved().with(&own).covers(capacity) {
+        if free.covers(capacity) && self.unreserved().with(&offered).covers(capacity) {
             return StartDecision::Now;
         }
         let until = now + may_wait;
-        let is_expected = self.grantable(now, until).with(&own).covers(capacity);
+        let is_expected = self.grantable(now, until).with(&offered).covers(capacity);
         match is_expected && start.may_wait_ms > 0 {
             true => StartDecision::Wait { until },
             false => StartDecision::Refuse(NotRunCause::NoRoom),
@@ -317,8 +317,8 @@
         if !self.queued.has_any_of(key) {
             return;
         }
-        let own = self.queued.take_if(|start| start.owner == *key);
-        for start in own {
+        let dropped = self.queued.take_if(|start| start.owner == *key);
+        for start in dropped {
             self.refuse_start(key, start.order.run, NotRunCause::Late);
         }
     }
--- a/crates/mastknot_core/src/agent/hall_totals.rs
+++ b/crates/mastknot_core/src/agent/hall_totals.rs
@@ -11,7 +11,7 @@
     /// The hall's share by weight of all work that was started while the hall waited.
     pub due: u64,
     /// Work that was started for the hall while any hall waited.
-    pub had: u64,
+    pub obtained: u64,
 }
 
 /// Totals of all halls.
@@ -34,7 +34,7 @@
             return;
         }
         if let Some(total) = self.of(hall) {
-            total.had += work;
+            total.obtained += work;
         }
         let together: u64 = waiting.iter().map(|hall| weight(hall, weights)).sum();
         for hall in waiting {
--- a/crates/mastknot_core/src/agent/offers.rs
+++ b/crates/mastknot_core/src/agent/offers.rs
@@ -87,15 +87,16 @@
     /// not reserved.
     pub(super) fn available_to(&self, key: &OwnerKey) -> Capacity {
         let offer = self.owners.get(key).and_then(|owner| owner.offer);
-        let own = offer.map(|offer| offer.left).unwrap_or_default();
-        own.with(&self.unreserved())
+        let offered = offer.map(|offer| offer.left).unwrap_or_default();
+        offered
+            .with(&self.unreserved())
             .smaller_of(&self.free_capacity())
     }
 
     /// Returns the capacity that is reported to an entry as usable.
-    pub(super) fn shown_to(&self, owner: &Owner, shared: &SharedCapacity) -> Capacity {
-        let own = owner.offer.map(|offer| offer.left).unwrap_or_default();
-        let shown = own.with(&shared.shown);
+    pub(super) fn usable_by(&self, owner: &Owner, shared: &SharedCapacity) -> Capacity {
+        let offered = owner.offer.map(|offer| offer.left).unwrap_or_default();
+        let shown = offered.with(&shared.shown);
         match shared.is_granting {
             // Some of this capacity may still be in use; starts are queued here until it is free.
             true => shown,
--- a/crates/mastknot_core/src/agent/reporting.rs
+++ b/crates/mastknot_core/src/agent/reporting.rs
@@ -58,7 +58,7 @@
     fn has_update(&self, owner: &Owner, shared: &SharedCapacity) -> bool {
         owner.has_unreported_offer()
             || owner.drained_revision < self.drained.revision
-            || self.is_notable(&owner.reported.free, &self.shown_to(owner, shared))
+            || self.is_notable(&owner.reported.free, &self.usable_by(owner, shared))
             || owner.reported.condition != self.condition
             || owner.reported.is_cold != self.is_cold
             || owner.reported.target != self.link.profile
@@ -73,9 +73,9 @@
 
     fn report(&mut self, now: Moment, key: &OwnerKey, shared: &SharedCapacity) {
         let known = self.owners.get(key);
-        let free = known.map(|owner| self.shown_to(owner, shared));
+        let free = known.map(|owner| self.usable_by(owner, shared));
         let free = free.unwrap_or_default();
-        let hidden = match self.is_granting() {
+        let withheld = match self.is_granting() {
             true => self.free_capacity().without(&free),
             false => Capacity::default(),
         };
@@ -115,7 +115,7 @@
             number,
             starts_included: owner.starts,
             free,
-            withheld: hidden,
+            withheld,
             is_offer: owner.offer.is_some_and(|offer| offer.is_needed),
             grant,
             load,
--- a/crates/mastknot_core/src/agent/run_table.rs
+++ b/crates/mastknot_core/src/agent/run_table.rs
@@ -164,8 +164,8 @@
 
     /// Returns the ids of all runs of one entry.
     pub(crate) fn of_owner(&self, owner: &OwnerKey) -> Vec<RunId> {
-        let own = self.runs.iter().filter(|(_, run)| run.owner == *owner);
-        own.map(|(id, _)| *id).collect()
+        let owned = self.runs.iter().filter(|(_, run)| run.owner == *owner);
+        owned.map(|(id, _)| *id).collect()
     }
 
     /// Returns whether an entry has any runs.
--- a/crates/mastknot_core/src/dispatch/fair_queue.rs
+++ b/crates/mastknot_core/src/dispatch/fair_queue.rs
@@ -235,8 +235,8 @@
         let weights: u64 = competitors.map(|other| other.weight).sum();
         let team_share = weights.max(queue.weight) / queue.weight.max(1);
         let customers = queue.level.len();
-        let own = queue.customers.get(customer).map_or(0, |c| c.waiting);
-        let by_customer = u64::from(own) * customers.max(1) as u64;
+        let customer_waiting = queue.customers.get(customer).map_or(0, |c| c.waiting);
+        let by_customer = u64::from(customer_waiting) * customers.max(1) as u64;
         let by_team = by_customer.min(u64::from(queue.waiting)) * team_share;
         by_team.min(u64::from(self.waiting)) as u32
     }
--- a/crates/mastknot_core/src/dispatch/starting.rs
+++ b/crates/mastknot_core/src/dispatch/starting.rs
@@ -42,19 +42,19 @@
         if self.peer_requests.is_empty() {
             return None;
         }
-        let own = self.queue.first_order();
-        if own.is_none() && self.pool.idle() <= self.kept_credits() {
+        let own_order = self.queue.first_order();
+        if own_order.is_none() && self.pool.idle() <= self.kept_credits() {
             return None;
         }
         let (peer, request) = self
             .peer_requests
             .iter()
             .filter(|(_, request)| {
-                request.is_open(now) && request.takes_precedence(now, own, self.running)
+                request.is_open(now) && request.takes_precedence(now, own_order, self.running)
             })
             .min_by_key(|(_, request)| request.demand.urgency)?;
         let batch = request.demand.wanted.min(self.profile.lend_batch) as usize;
-        let may_lend = is_lending || own.is_some() || self.pool.idle() >= batch;
+        let may_lend = is_lending || own_order.is_some() || self.pool.idle() >= batch;
         may_lend.then(|| peer.clone())
     }
 
--- a/crates/mastknot_core/src/entry/callers.rs
+++ b/crates/mastknot_core/src/entry/callers.rs
@@ -231,7 +231,7 @@
             let refusal = Refusal::not_run(RefusalReason::UnknownService);
             return self.refuse(&waiter, refusal, out);
         };
-        if !self.ledger.has_room() {
+        if !self.ledger.has_capacity() {
             let refusal = Refusal::not_run(RefusalReason::LedgerFull);
             return self.refuse(&waiter, refusal.retry_after_ms(LEDGER_RETRY_AFTER_MS), out);
         }
--- a/crates/mastknot_core/src/entry/peers.rs
+++ b/crates/mastknot_core/src/entry/peers.rs
@@ -168,10 +168,10 @@
         // Peers vote out a member that is silent for too long, so this message is sent even if
         // nothing has changed.
         self.send_to_peers(&self.config_in_force(), out);
-        let running = self.teams_near_quota();
-        if running != self.team_use_sent {
-            self.team_use_sent = running.clone();
-            self.send_to_peers(&PeerMessage::TeamUse { running }, out);
+        let team_use = self.teams_near_quota();
+        if team_use != self.team_use_sent {
+            self.team_use_sent = team_use.clone();
+            self.send_to_peers(&PeerMessage::TeamUse { running: team_use }, out);
         }
     }
 
--- a/crates/mastknot_core/src/scheduler/admission.rs
+++ b/crates/mastknot_core/src/scheduler/admission.rs
@@ -34,7 +34,7 @@
     /// Usual error of the forecasts for the job's queue.
     pub error: Duration,
     /// Whether a target has capacity for a task of the job.
-    pub has_room: bool,
+    pub has_capacity: bool,
     /// Whether this is the first review of the job.
     pub is_new: bool,
     /// Whether the previous review denied the job.
@@ -47,7 +47,7 @@
     /// Where capacity is short, a late job takes it from jobs that could be in time. One noisy view of the load refuses
     /// no job, and a job that could start now is never refused.
     pub fn of(input: &AdmissionInput) -> Self {
-        if input.has_room {
+        if input.has_capacity {
             return Self::Wait;
         }
         let is_sure = input.is_new && input.is_late_despite(input.error * ARRIVAL_ERROR_FACTOR);
--- a/crates/mastknot_core/src/scheduler/contained_kinds.rs
+++ b/crates/mastknot_core/src/scheduler/contained_kinds.rs
@@ -258,11 +258,11 @@
         let open = job.tasks.iter().enumerate();
         let mut open = open.filter(|(_, task)| task.state != TaskState::Done);
         open.any(|(index, task)| {
-            let usual = self.isolated_time_to_crash(job.kind(index));
-            let own = self.crashes.suspect_time_to_crash(&task.name);
-            usual
-                .zip(own)
-                .is_some_and(|(usual, own)| are_similar_run_times(usual, own))
+            let kind_time = self.isolated_time_to_crash(job.kind(index));
+            let task_time = self.crashes.suspect_time_to_crash(&task.name);
+            kind_time
+                .zip(task_time)
+                .is_some_and(|(kind_time, task_time)| are_similar_run_times(kind_time, task_time))
         })
     }
 
--- a/crates/mastknot_core/src/scheduler/crash_history.rs
+++ b/crates/mastknot_core/src/scheduler/crash_history.rs
@@ -125,8 +125,8 @@
     pub(crate) fn crashed_sides(&self, task: &TaskRef) -> Vec<NodeName> {
         let crashes = self.crashes_caused_by(task);
         let known = self.known.iter();
-        let own = known.filter(|known| crashes.contains(&known.number));
-        own.map(|known| known.side.clone()).collect()
+        let caused = known.filter(|known| crashes.contains(&known.number));
+        caused.map(|known| known.side.clone()).collect()
     }
 
     /// Returns the numbers of the crashes that a task is confirmed to have caused. Its runs at these crashes are
@@ -222,8 +222,8 @@
     /// Returns whether the run of a task at this crash was early and lasted about as long as another early run, of the
     /// same task or another task of its step, until an independent crash.
     fn has_similar_early_run(&self, task: &TaskRef, crash: u64) -> bool {
-        let own = self.runs.get(task).into_iter().flatten();
-        let Some(own) = own.into_iter().find(|run| run.crash_number == crash) else {
+        let runs = self.runs.get(task).into_iter().flatten();
+        let Some(run_at_crash) = runs.into_iter().find(|run| run.crash_number == crash) else {
             return false;
         };
         let first = TaskRef { index: 0, ..*task };
@@ -232,8 +232,8 @@
             ..*task
         };
         let of_step = self.runs.range(first..=last).flat_map(|(_, runs)| runs);
-        let mut early = of_step.filter(|run| run.is_early() && run.is_independent(own));
-        own.is_early() && early.any(|run| run.is_similar(own))
+        let mut early = of_step.filter(|run| run.is_early() && run.is_independent(run_at_crash));
+        run_at_crash.is_early() && early.any(|run| run.is_similar(run_at_crash))
     }
 
     /// Returns whether another kind explains the crashes under these runs of one kind equally well. Runs of the other
--- a/crates/mastknot_core/src/scheduler/forecast.rs
+++ b/crates/mastknot_core/src/scheduler/forecast.rs
@@ -45,8 +45,8 @@
     /// More urgent work that arrives in the meantime takes its part of that rate, at the other entries as well as at
     /// this one.
     pub fn of(view: &LoadView, input: &ForecastInput) -> Self {
-        let left = 1.0 - input.arriving_rate / view.equal_share_rate();
-        let rate = view.rate(input.rank) * input.obtained_ratio * left;
+        let remaining_share = 1.0 - input.arriving_rate / view.equal_share_rate();
+        let rate = view.rate(input.rank) * input.obtained_ratio * remaining_share;
         if input.ahead == 0 && view.has_capacity_for(&input.smallest) {
             let wait = Some(Duration::ZERO);
             return Self { wait, rate };
@@ -71,8 +71,8 @@
     /// Returns the work that waits at the entry itself with this rank or a more urgent one, in thousandths of a core
     /// times milliseconds.
     pub fn own_work(&self, rank: u8) -> u64 {
-        let own = self.own.iter().filter(|work| work.rank <= rank);
-        own.map(|work| work.cpu_millis_ms).sum()
+        let urgent = self.own.iter().filter(|work| work.rank <= rank);
+        urgent.map(|work| work.cpu_millis_ms).sum()
     }
 
     /// Returns the rate at which targets do the entry's own work of this rank or a more urgent one, in thousandths of a
@@ -81,15 +81,15 @@
     /// The capacity of each target is divided among the entries that wait for it in proportion to their work, because
     /// an entry reports the same need to each side that it uses.
     pub fn rate(&self, rank: u8) -> f64 {
-        let own = self.own_work(rank) as f64;
+        let own_work = self.own_work(rank) as f64;
         let rates = self.sides.iter().map(|side| {
             let reported = side.load.waiting.iter().filter(|work| work.rank <= rank);
             let reported: u64 = reported.map(|work| work.cpu_millis_ms).sum();
             // A report may be older than the work that waits here.
-            let waiting = (reported as f64).max(own);
+            let waiting = (reported as f64).max(own_work);
             let capacity = side.rate();
             match waiting > 0.0 {
-                true => capacity * own / waiting,
+                true => capacity * own_work / waiting,
                 false => side.equal_share_rate(),
             }
         });
--- a/crates/mastknot_core/src/scheduler/kind_loads.rs
+++ b/crates/mastknot_core/src/scheduler/kind_loads.rs
@@ -37,7 +37,7 @@
         if self.runs < MIN_RUNS || sum <= 0.0 {
             return None;
         }
-        let own = self.loads.get(&kind).copied().unwrap_or_default();
-        Some(own / sum)
+        let load = self.loads.get(&kind).copied().unwrap_or_default();
+        Some(load / sum)
     }
 }
--- a/crates/mastknot_core/src/scheduler/learned.rs
+++ b/crates/mastknot_core/src/scheduler/learned.rs
@@ -49,8 +49,8 @@
 
     /// Returns the position of this entry among the listed entries in the order in which they write.
     fn writer_rank(&self) -> usize {
-        let own = &self.settings.entry;
-        let own_rank = (stable_hash(&[own]), own);
+        let own_name = &self.settings.entry;
+        let own_rank = (stable_hash(&[own_name]), own_name);
         let others = self.entries.iter().map(|entry| &entry.name);
         let ranks = others.map(|name| (stable_hash(&[name]), name));
         ranks.filter(|rank| *rank < own_rank).count()
--- a/crates/mastknot_core/src/scheduler/observed_load.rs
+++ b/crates/mastknot_core/src/scheduler/observed_load.rs
@@ -25,8 +25,8 @@
         now: Moment,
         is_used: impl Fn(&SideView) -> bool,
     ) -> LoadView {
-        let own = self.own_waiting_work();
-        let assumed = self.assumed_load(&own);
+        let own_work = self.own_waiting_work();
+        let assumed = self.assumed_load(&own_work);
         let sides = self.sides.iter();
         let used = sides.filter(|(_, side)| side.takes_work() && is_used(side));
         let known = used.map(|(name, side)| KnownLoad {
@@ -47,7 +47,7 @@
         });
         LoadView {
             sides: known.collect(),
-            own,
+            own: own_work,
         }
     }
 
@@ -64,14 +64,14 @@
     }
 
     /// Returns the work that waits at a side under the assumption that all entries have the same load as this one.
-    fn assumed_load(&self, own: &[RankedWork]) -> SideLoad {
+    fn assumed_load(&self, own_work: &[RankedWork]) -> SideLoad {
         let entries = self.entries_per_side();
         let others = f64::from(entries - 1);
         let mut ranks: BTreeMap<u8, u64> = BTreeMap::new();
         for (rank, mean) in self.demand.waiting.by_rank() {
             ranks.insert(rank, (mean * others) as u64);
         }
-        for work in own {
+        for work in own_work {
             *ranks.entry(work.rank).or_default() += work.cpu_millis_ms;
         }
         SideLoad {
--- a/crates/mastknot_core/src/scheduler/placing.rs
+++ b/crates/mastknot_core/src/scheduler/placing.rs
@@ -122,13 +122,13 @@
             for task in job.waiting_tasks() {
                 let required = job.step(task).required_capacity;
                 job_total = job_total.with(&required);
-                let so_far = need.get_or_insert(WaitingNeed {
+                let total_need = need.get_or_insert(WaitingNeed {
                     rank,
                     smallest_task: required,
                     ..WaitingNeed::default()
                 });
-                so_far.required_capacity = so_far.required_capacity.with(&required);
-                so_far.smallest_task = so_far.smallest_task.smaller_of(&required);
+                total_need.required_capacity = total_need.required_capacity.with(&required);
+                total_need.smallest_task = total_need.smallest_task.smaller_of(&required);
             }
             if let Some(need) = need.as_mut().filter(|_| self.uses_capacity_grants()) {
                 need.record_job(job_total, now.since(job.arrived));
@@ -212,7 +212,7 @@
     }
 
     /// Returns whether the first waiting task of a job could be placed now, whatever waits before it.
-    pub(super) fn has_room_for(&self, now: Moment, job: &ActiveJob) -> bool {
+    pub(super) fn has_capacity_for(&self, now: Moment, job: &ActiveJob) -> bool {
         let candidates = self.candidates(now);
         let mut waiting = job.waiting_tasks().into_iter();
         let first = waiting.next();
@@ -243,11 +243,11 @@
         });
         let best = fitting.min_by_key(|(index, name, side)| {
             let outside_part = u32::from(is_outside_part(index)) * OUTSIDE_LIKELY_PART_PENALTY;
-            let speed = self.speed_penalty(now, job, task, side);
+            let slowdown = self.slowdown_penalty(now, job, task, side);
             score(job, task, name, side)
                 + self.scatter_penalty(job, task, name)
                 + outside_part
-                + speed
+                + slowdown
         });
         best.map(|(_, name, _)| name.clone())
     }
--- a/crates/mastknot_core/src/scheduler/reviewing.rs
+++ b/crates/mastknot_core/src/scheduler/reviewing.rs
@@ -29,8 +29,8 @@
             return;
         }
         self.demand.reviewed_at = now;
-        let own = self.own_waiting_work();
-        self.demand.waiting.record(now, &own);
+        let own_work = self.own_waiting_work();
+        self.demand.waiting.record(now, &own_work);
         self.demand.has_new_job = false;
         let services = self.waiting_services().into_iter();
         let views = services.map(|service| {
@@ -175,7 +175,7 @@
         let mut input = self.admission_input(now, job, forecast);
         // The search for capacity is expensive, so it is made only for a job that is denied otherwise.
         if Admission::of(&input) != Admission::Wait {
-            input.has_room = self.has_room_for(now, job);
+            input.has_capacity = self.has_capacity_for(now, job);
         }
         let admission = Admission::of(&input);
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -261,7 +261,7 @@
             chain: job.remaining_chain(),
             left: job.times.objective.min(job.deadline).since(now),
             error: self.demand.errors.mean(&job.policy.name),
-            has_room: false,
+            has_capacity: false,
             is_new: !job.forecast.is_reviewed,
             was_denied_before: job.forecast.was_denied_before(now),
         }
--- a/crates/mastknot_core/src/scheduler/run_times.rs
+++ b/crates/mastknot_core/src/scheduler/run_times.rs
@@ -106,8 +106,8 @@
         }
         let deviation = (logarithm(estimate) - times.log_estimate) * times.exponent();
         let expected = (times.log_run_time + deviation).exp();
-        let own = estimate.as_secs_f64();
-        Duration::from_secs_f64(expected.clamp(own / MAX_FACTOR, own * MAX_FACTOR))
+        let estimate_s = estimate.as_secs_f64();
+        Duration::from_secs_f64(expected.clamp(estimate_s / MAX_FACTOR, estimate_s * MAX_FACTOR))
     }
 }
 
--- a/crates/mastknot_core/src/scheduler/side_links.rs
+++ b/crates/mastknot_core/src/scheduler/side_links.rs
@@ -305,14 +305,14 @@
             return;
         }
         let limit = self.settings.terms.run_over_after;
-        let is_over =
+        let has_ended_runs =
             |side: &SideView| side.session.is_none() && now.since(side.last_received_at) > limit;
-        let over = self.sides.iter().filter(|(_, side)| is_over(side));
-        let over: Vec<(NodeName, Vec<RunId>)> = over
+        let lost_sides = self.sides.iter().filter(|(_, side)| has_ended_runs(side));
+        let lost_sides: Vec<(NodeName, Vec<RunId>)> = lost_sides
             .filter(|(_, side)| !side.runs.is_empty())
             .map(|(name, side)| (name.clone(), side.runs.keys().copied().collect()))
             .collect();
-        for (name, runs) in over {
+        for (name, runs) in lost_sides {
             for run in runs {
                 self.handle_run_end(now, &name, &lost_run(run));
             }
--- a/crates/mastknot_core/src/scheduler/target_classes.rs
+++ b/crates/mastknot_core/src/scheduler/target_classes.rs
@@ -55,7 +55,7 @@
 
     /// Returns the penalty that is added to the score of a side for a task: a large one if the task risks being late
     /// there, and a small one if a slower target would do. It is 0 if all targets are equally fast.
-    pub(super) fn speed_penalty(
+    pub(super) fn slowdown_penalty(
         &self,
         now: Moment,
         job: &ActiveJob,
--- a/crates/mastknot_core/src/scheduler/yielding.rs
+++ b/crates/mastknot_core/src/scheduler/yielding.rs
@@ -78,8 +78,8 @@
             return None;
         }
         // A queue must not lose more of its jobs than the queue that it yields to.
-        let own = self.lost_share(now, &job.policy.name);
-        if own > self.lost_share(now, &contended.queue) + NEGLIGIBLE_SHARE {
+        let own_lost_share = self.lost_share(now, &job.policy.name);
+        if own_lost_share > self.lost_share(now, &contended.queue) + NEGLIGIBLE_SHARE {
             return None;
         }
         let latest_start = key.latest_start.min(job.arrived + job.times.slack);
--- a/crates/mastknot_core/src/submission/ledger.rs
+++ b/crates/mastknot_core/src/submission/ledger.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether one more submission can be recorded.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.records.len() < self.settings.max_records
     }
 
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -205,7 +205,7 @@
 fn no_job_is_refused_while_a_target_has_capacity() {
     for (is_new, was_denied_before) in [(true, false), (false, true)] {
         let input = AdmissionInput {
-            has_room: true,
+            has_capacity: true,
             is_new,
             was_denied_before,
             ..waits_for(None)
--- a/crates/mastknot_core/tests/learned_profile.rs
+++ b/crates/mastknot_core/tests/learned_profile.rs
@@ -330,10 +330,10 @@
     for number in 0..40 {
         run(&mut entry, 10 + 10 * number, 1 + number, 400);
     }
-    let own = entry.scheduler.learned().run_times;
-    assert_eq!(own[0].steps, 40);
+    let own_run_times = entry.scheduler.learned().run_times;
+    assert_eq!(own_run_times[0].steps, 40);
     read(&mut entry, 1_000, slowdowns_only(), 1_000);
-    assert_eq!(entry.scheduler.learned().run_times, own);
+    assert_eq!(entry.scheduler.learned().run_times, own_run_times);
 }
 
 #[test]
--- a/crates/mastknot_core/tests/linked_again.rs
+++ b/crates/mastknot_core/tests/linked_again.rs
@@ -6,7 +6,7 @@
 use mastknot_core::agent::{AgentEffect, AgentEvent, TargetRunning, TargetView};
 
 /// Returns the time on the target's clock until which a probe asks the target to keep its runs, in milliseconds.
-fn hold(effects: &[AgentEffect]) -> Option<u64> {
+fn hold_until(effects: &[AgentEffect]) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         AgentEffect::Probe { hold_until_ms, .. } => *hold_until_ms,
         _ => None,
@@ -38,7 +38,7 @@
     side.join(1_380, OTHER, "entry-1", 1);
     let effects = answer_listing(&mut side, 1_400, &effects);
     let latest = 1_000 + 1_000 + 500;
-    let requested = hold(&effects).expect("a probe that requests a hold");
+    let requested = hold_until(&effects).expect("a probe that requests a hold");
     assert!(
         requested <= latest,
         "held until {requested}, allowed {latest}"
--- a/crates/mastknot_core/tests/room_grants.rs
+++ b/crates/mastknot_core/tests/room_grants.rs
@@ -136,8 +136,8 @@
         [],
         "the capacity is reserved for the other entry"
     );
-    let own = side.order(last, OTHER, start(8, 2_000));
-    assert_eq!(ordered(&own), [run(8)]);
+    let owner_effects = side.order(last, OTHER, start(8, 2_000));
+    assert_eq!(ordered(&owner_effects), [run(8)]);
     assert!(!is_overfull(&side));
 }
 
--- a/crates/mastknot_core/tests/scheduler.rs
+++ b/crates/mastknot_core/tests/scheduler.rs
@@ -111,13 +111,13 @@
     let effects = entry.submit(10, 1, job(1, 1, 900), 9_000);
     assert_eq!(starts(&effects).len(), 1);
     entry.join(300, 1, 16_000);
-    let mut again = Vec::new();
+    let mut restarts = Vec::new();
     for ms in (310..700).step_by(10) {
         let effects = entry.status(ms, 1, 16_000, 0, None, Vec::new());
-        again.extend(starts(&effects).into_iter().map(|(side, _)| (ms, side)));
+        restarts.extend(starts(&effects).into_iter().map(|(side, _)| (ms, side)));
     }
     // The side last reported at 0 ms: after 350 ms of silence its link is closed, and its runs are over after 600 ms.
-    assert_eq!(again, [(610, 1)]);
+    assert_eq!(restarts, [(610, 1)]);
 }
 
 #[test]
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -44,12 +44,16 @@
     /// Share of all pieces that the hall requests.
     share: f64,
     /// Interval between the pieces that the hall can use: 1 for all pieces, 2 for every second piece.
-    each: u64,
+    usable_every: u64,
 }
 
 fn demand(hall: &'static str, share: f64) -> HallDemand {
     let each = 1;
-    HallDemand { hall, share, each }
+    HallDemand {
+        hall,
+        share,
+        usable_every: each,
+    }
 }
 
 /// Whether a hall is charged for pieces that it gets because others could not use them.
@@ -71,7 +75,7 @@
         let virtual_time_of = |index: &usize| shares.virtual_time(&halls[*index]);
         let first = waiting.iter().copied().min_by_key(virtual_time_of);
         let fitting = waiting.iter().copied();
-        let fitting = fitting.filter(|index| piece % demands[*index].each == 0);
+        let fitting = fitting.filter(|index| piece % demands[*index].usable_every == 0);
         let Some(next) = fitting.min_by_key(virtual_time_of) else {
             continue;
         };
@@ -123,7 +127,7 @@
 #[test]
 fn lent_capacity_is_charged() {
     let restricted = HallDemand {
-        each: 2,
+        usable_every: 2,
         ..demand("c", 1.0)
     };
     let demands = [demand("a", 1.0), demand("b", 1.0), restricted];
@@ -181,7 +185,7 @@
 #[test]
 fn a_hall_that_waits_in_vain_does_not_undo_the_shares_of_others() {
     let never = HallDemand {
-        each: u64::MAX,
+        usable_every: u64::MAX,
         ..demand("never", 1.0)
     };
     let demands = [demand("a", 1.0), demand("b", 1.0), never];
@@ -246,8 +250,8 @@
     totals.record_started(&a, 1_000, &[&a], &weights);
     totals.record_started(&b, 1_000, &[&a, &b], &weights);
     let (a, b) = (totals.halls()[&a], totals.halls()[&b]);
-    assert_eq!((a.due, a.had), (1_750, 1_000));
-    assert_eq!((b.due, b.had), (250, 1_000));
+    assert_eq!((a.due, a.obtained), (1_750, 1_000));
+    assert_eq!((b.due, b.obtained), (250, 1_000));
 }
 
 /// Returns the update in which an entry reports whether halls share capacity, and their weights.
@@ -501,12 +505,14 @@
     let mut contended = ContendedTarget::new(&update_with(true, ShareWeights::default()));
     contended.run_rounds([0; 3], 120);
     let totals = contended.side.agent.hall_totals();
-    let totals: Vec<(u64, u64)> = totals.map(|(_, total)| (total.due, total.had)).collect();
+    let totals: Vec<(u64, u64)> = totals
+        .map(|(_, total)| (total.due, total.obtained))
+        .collect();
     let whole: u64 = totals.iter().map(|(_, had)| had).sum();
-    for (due, had) in totals {
+    for (due, obtained) in totals {
         assert!(
-            had > 0 && due.abs_diff(had) * 20 <= whole,
-            "{due} due, {had} obtained"
+            obtained > 0 && due.abs_diff(obtained) * 20 <= whole,
+            "{due} due, {obtained} obtained"
         );
     }
 }
--- a/crates/mastknot_entry/src/jobs/job_node.rs
+++ b/crates/mastknot_entry/src/jobs/job_node.rs
@@ -181,8 +181,8 @@
 
     /// Returns all metrics in the Prometheus text format; `None` if the entry has stopped.
     pub async fn metrics_text(&self) -> Option<String> {
-        let own = self.actor.ask(GetJobMetrics).await.ok()?;
-        Some(self.stats.text() + &own)
+        let node_metrics = self.actor.ask(GetJobMetrics).await.ok()?;
+        Some(self.stats.text() + &node_metrics)
     }
 
     /// Returns whether at least one side is ready, for any service.
--- a/crates/mastknot_runtime/tests/directory.rs
+++ b/crates/mastknot_runtime/tests/directory.rs
@@ -264,7 +264,7 @@
     assert_eq!(names_after(&directory, 100).await, ["b", "e"]);
 }
 
-fn own() -> Option<OwnEntry> {
+fn own_entry() -> Option<OwnEntry> {
     Some(OwnEntry {
         name: "own".to_owned(),
         value: "7".to_owned(),
@@ -274,7 +274,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_own_key_is_written_again_after_another_writer_changed_or_removed_it() {
     let store = MemoryStore::default();
-    let directory = keep(&store, own());
+    let directory = keep(&store, own_entry());
     assert_eq!(names_after(&directory, 500).await, ["own"]);
     for foreign in [Some("13"), Some("rubbish"), None] {
         store.change("own", foreign);
@@ -287,7 +287,7 @@
 #[tokio::test(start_paused = true)]
 async fn two_writers_of_one_key_do_not_fight_without_end() {
     let store = MemoryStore::default();
-    let _directory = keep(&store, own());
+    let _directory = keep(&store, own_entry());
     sleep(Duration::from_millis(500)).await;
     for _ in 0..2_000 {
         store.change("own", Some("13"));
--- a/crates/mastknot_runtime/tests/profile_keeper.rs
+++ b/crates/mastknot_runtime/tests/profile_keeper.rs
@@ -216,10 +216,10 @@
 
 impl ProfileHolder for LearningEntry {
     async fn offer(&self, known: Option<Arc<LearnedProfile>>) -> Option<ProfileOffer> {
-        let own = self.own.lock().expect("own").clone();
+        let own_profile = self.own.lock().expect("own").clone();
         let profile = LearnedProfile {
             written_ms: WRITTEN + self.clock.monotonic().as_micros() / 1_000,
-            ..own
+            ..own_profile
         };
         let change = match self.always_changes {
             true => Some(ProfileUpdate::Slowdown),
@@ -249,7 +249,7 @@
     counts
 }
 
-async fn seconds(count: u64) {
+async fn sleep_seconds(count: u64) {
     sleep(Duration::from_secs(count)).await;
 }
 
@@ -270,13 +270,13 @@
 /// Makes the calls that an entry makes in any case: it keeps itself listed, and follows the directory and operators'
 /// writes.
 fn make_usual_calls(store: &CountingStore, clock: Clock) -> mpsc::UnboundedReceiver<()> {
-    let own = OwnEntry {
+    let own_entry = OwnEntry {
         name: "own".to_owned(),
         value: "7".to_owned(),
     };
     let directory = DirectorySettings {
         prefix: "system/entries/".to_owned(),
-        own: Some(own),
+        own: Some(own_entry),
         read: |value| Some(value.len()),
         lease_time: Duration::from_secs(6),
         watch_wait: DIRECTORY_WATCH_WAIT,
@@ -338,7 +338,7 @@
     let entry = LearningEntry::new(Clock::start());
     entry.suspects(&[1]);
     let counts = keep(&store, &entry);
-    seconds(60).await;
+    sleep_seconds(60).await;
     assert_eq!(store.with(|state| state.writes), 1);
     assert_eq!(store.document().suspects.len(), 1);
     assert_eq!(counts.count("not_written", "unanswered"), 1);
@@ -358,7 +358,7 @@
     let calls = store.with(|state| state.profile_calls);
     assert!(calls <= 70, "{calls} calls in an hour");
     store.with(|state| state.is_unavailable = false);
-    seconds(90).await;
+    sleep_seconds(90).await;
     assert_eq!(entry.taken(), [written_by_others()]);
 }
 
@@ -368,11 +368,11 @@
     let clock = Clock::start();
     let entries = [LearningEntry::new(clock), LearningEntry::new(clock)];
     let counts = entries.each_ref().map(|entry| keep(&store, entry));
-    seconds(5).await;
+    sleep_seconds(5).await;
     for entry in &entries {
         entry.suspects(&[1]);
     }
-    seconds(30).await;
+    sleep_seconds(30).await;
     assert_eq!(store.with(|state| state.writes), 1);
     assert_eq!(store.document().suspects.len(), 1);
     let refused = counts.each_ref().map(|counts| counts.count("refused", ""));
@@ -391,11 +391,11 @@
         store.put(KEY, value);
         let entry = LearningEntry::new(Clock::start());
         let counts = keep(&store, &entry);
-        seconds(5).await;
+        sleep_seconds(5).await;
         assert_eq!(counts.count("not_taken", cause), 1);
         assert_eq!(entry.taken(), []);
         entry.suspects(&[1]);
-        seconds(5).await;
+        sleep_seconds(5).await;
         assert_eq!(store.document().suspects.len(), 1);
     }
 }
@@ -407,7 +407,7 @@
     keep(&store, &entry);
     for number in 0..100 {
         entry.suspects(&[number]);
-        seconds(1).await;
+        sleep_seconds(1).await;
     }
     let writes = store.with(|state| state.writes);
     assert!((5..=11).contains(&writes), "{writes} writes in 100 s");
--- a/crates/mastknot_side/src/agent/agent_metrics.rs
+++ b/crates/mastknot_side/src/agent/agent_metrics.rs
@@ -96,7 +96,7 @@
             self.hall_due.get_or_create(&labels).set(seconds(total.due));
             self.hall_obtained
                 .get_or_create(&labels)
-                .set(seconds(total.had));
+                .set(seconds(total.obtained));
         }
     }
 
--- a/crates/mastknot_side/src/agent/agent_node.rs
+++ b/crates/mastknot_side/src/agent/agent_node.rs
@@ -112,8 +112,8 @@
 
     /// Returns all metrics in the Prometheus text format; `None` if the side has stopped.
     pub async fn metrics_text(&self) -> Option<String> {
-        let own = self.actor.ask(GetAgentMetrics).await.ok()?;
-        Some(self.stats.text() + &own)
+        let node_metrics = self.actor.ask(GetAgentMetrics).await.ok()?;
+        Some(self.stats.text() + &node_metrics)
     }
 
     /// Returns the traffic counters of the side's links.
--- a/crates/mastknot_virtual/src/jobs/callers.rs
+++ b/crates/mastknot_virtual/src/jobs/callers.rs
@@ -33,7 +33,7 @@
             entry,
             entry_incarnation: node.incarnation,
             submitted_at: self.now,
-            was_disturbed: is_down || node.paused_until > self.now || delayed_until.is_some(),
+            may_miss_answer: is_down || node.paused_until > self.now || delayed_until.is_some(),
             is_delayed: delayed_until.is_some(),
         };
         self.callers.insert(caller, record);
@@ -119,7 +119,7 @@
         };
         let is_same_incarnation =
             self.entries[record.entry].incarnation == record.entry_incarnation;
-        if !record.was_disturbed && is_same_incarnation {
+        if !record.may_miss_answer && is_same_incarnation {
             self.audit.unanswered(record.job, record.submitted_at);
         }
         let is_departure_delayed = self.is_departure_delayed(&record);
--- a/crates/mastknot_virtual/src/jobs/delayed_requests.rs
+++ b/crates/mastknot_virtual/src/jobs/delayed_requests.rs
@@ -17,7 +17,7 @@
         let until = self.now + time.as_micros() as u64;
         let held = &mut self.requests_delayed_until[entry];
         *held = until.max(*held);
-        self.disturb_callers(entry);
+        self.record_pause_for_callers(entry);
     }
 
     /// Pauses an entry, which reads the requests that arrived meanwhile when it resumes.
--- a/crates/mastknot_virtual/src/jobs/fault_handling.rs
+++ b/crates/mastknot_virtual/src/jobs/fault_handling.rs
@@ -15,11 +15,11 @@
             }
             JobFault::PauseEntry { entry, time } => {
                 self.entries[entry].paused_until = self.now + time.as_micros() as u64;
-                self.disturb_callers(entry);
+                self.record_pause_for_callers(entry);
             }
             JobFault::SuspendEntry { entry, time } => {
                 self.entries[entry].suspend(self.now, time);
-                self.disturb_callers(entry);
+                self.record_pause_for_callers(entry);
             }
             JobFault::SuspendSide { side, time } => {
                 self.sides[side].suspend(self.now, time);
@@ -87,12 +87,12 @@
     }
 
     /// Records for all callers of an entry that a pause of the entry may have cost them their answers.
-    pub(super) fn disturb_callers(&mut self, entry: usize) {
-        let disturbed = self
+    pub(super) fn record_pause_for_callers(&mut self, entry: usize) {
+        let affected = self
             .callers
             .values_mut()
             .filter(|caller| caller.entry == entry);
-        disturbed.for_each(|caller| caller.was_disturbed = true);
+        affected.for_each(|caller| caller.may_miss_answer = true);
     }
 
     pub(super) fn kill_entry(&mut self, entry: usize) {
--- a/crates/mastknot_virtual/src/jobs/job_system.rs
+++ b/crates/mastknot_virtual/src/jobs/job_system.rs
@@ -77,7 +77,7 @@
     pub(super) entry_incarnation: u64,
     pub(super) submitted_at: u64,
     /// Whether a fault of the entry may prevent the answer, so that a missing answer is no violation.
-    pub(super) was_disturbed: bool,
+    pub(super) may_miss_answer: bool,
     /// Whether the caller's request was delayed on its way.
     pub(super) is_delayed: bool,
 }
--- a/crates/mastknot_virtual/src/jobs/sharing.rs
+++ b/crates/mastknot_virtual/src/jobs/sharing.rs
@@ -35,7 +35,7 @@
         for (hall, total) in sides.flat_map(|core| core.hall_totals()) {
             let sum = totals.entry(hall.clone()).or_default();
             sum.due += total.due;
-            sum.had += total.had;
+            sum.obtained += total.obtained;
         }
         totals
     }
--- a/crates/mastknot_virtual/src/jobs/virtual_target.rs
+++ b/crates/mastknot_virtual/src/jobs/virtual_target.rs
@@ -113,12 +113,12 @@
 
     /// Returns the next time at which a run ends by itself or the hold expires, in microseconds.
     pub(super) fn next_end(&self) -> Option<u64> {
-        let own = self
+        let run_ends = self
             .runs
             .values()
             .filter_map(|run| run.ends.map(|(at, _)| at));
         let hold = (!self.runs.is_empty()).then(|| self.at_clock(self.hold_until_ms));
-        own.chain(hold).min()
+        run_ends.chain(hold).min()
     }
 
     /// Ends the runs that are due, or whose hold has expired, and returns them.
--- a/crates/mastknot_virtual/src/system/fault_injection.rs
+++ b/crates/mastknot_virtual/src/system/fault_injection.rs
@@ -133,9 +133,13 @@
             if other != index && self.is_up(other) {
                 let lost = EntryEvent::PeerLost { peer: id.clone() };
                 let dead = EntryEvent::PeerDead { peer: id.clone() };
-                let soon = self.now + self.delays.between_halls.as_micros() as u64;
-                self.at_entry(soon, other, lost);
-                self.at_entry(soon + DEATH_NOTICE_DELAY.as_micros() as u64, other, dead);
+                let noticed_at = self.now + self.delays.between_halls.as_micros() as u64;
+                self.at_entry(noticed_at, other, lost);
+                self.at_entry(
+                    noticed_at + DEATH_NOTICE_DELAY.as_micros() as u64,
+                    other,
+                    dead,
+                );
             }
         }
         for side in 0..self.sides.len() {
--- a/crates/mastknot_virtual/tests/forecast.rs
+++ b/crates/mastknot_virtual/tests/forecast.rs
@@ -75,7 +75,7 @@
         refused_while_waiting(&simulation),
     );
     let summary = simulation.summary();
-    let with_capacity = simulation.refused_with_room;
+    let with_capacity = simulation.refused_with_capacity;
     println!(
         "{times}: {summary}, {early} at arrival, {late} while waiting, with capacity {with_capacity:?}"
     );
--- a/crates/mastknot_virtual/tests/load/mod.rs
+++ b/crates/mastknot_virtual/tests/load/mod.rs
@@ -115,7 +115,7 @@
     pub jobs: Vec<Submitted>,
     /// Number of refusals in [`Simulation::watch`], by the milliseconds for which some target had had capacity for a
     /// task. The last element counts all refusals after longer times.
-    pub refused_with_room: [u64; 12],
+    pub refused_with_capacity: [u64; 12],
     rng: StdRng,
     now: Duration,
 }
@@ -145,7 +145,7 @@
             system,
             fleet,
             jobs: Vec::new(),
-            refused_with_room: [0; 12],
+            refused_with_capacity: [0; 12],
             rng: StdRng::seed_from_u64(fleet.seed),
             now: Duration::ZERO,
         }
@@ -269,17 +269,17 @@
 
     /// Runs until the given time and records for each refused job how long a target had had capacity for a task.
     pub fn watch(&mut self, until: Duration) {
-        let mut had_room = vec![0; self.fleet.sides];
+        let mut ms_with_capacity = vec![0; self.fleet.sides];
         let mut refused = self.counted(|counters| counters.jobs_refused);
         while self.now < until {
             self.now = (self.now + Duration::from_millis(1)).min(until);
             self.system.run_until(self.now);
-            for (had, free) in had_room.iter_mut().zip(self.system.free_cpu()) {
-                *had = if free >= TASK_CPU { *had + 1 } else { 0 };
+            for (ms, free) in ms_with_capacity.iter_mut().zip(self.system.free_cpu()) {
+                *ms = if free >= TASK_CPU { *ms + 1 } else { 0 };
             }
             let now_refused = self.counted(|counters| counters.jobs_refused);
-            let longest = had_room.iter().max().copied().unwrap_or_default();
-            self.refused_with_room[longest.min(11)] += now_refused - refused;
+            let longest = ms_with_capacity.iter().max().copied().unwrap_or_default();
+            self.refused_with_capacity[longest.min(11)] += now_refused - refused;
             refused = now_refused;
         }
     }
--- a/crates/mastknot_virtual/tests/shares.rs
+++ b/crates/mastknot_virtual/tests/shares.rs
@@ -238,10 +238,10 @@
 /// Returns each hall's share of all capacity that was used for starts while tasks waited.
 fn capacity_shares(simulation: &Simulation) -> Vec<f64> {
     let totals = simulation.system.hall_totals();
-    let total_had: u64 = totals.values().map(|total| total.had).sum();
+    let total_obtained: u64 = totals.values().map(|total| total.obtained).sum();
     let shares = totals
         .values()
-        .map(|total| total.had as f64 / total_had as f64);
+        .map(|total| total.obtained as f64 / total_obtained as f64);
     shares.collect()
 }
 
