--- a/crates/mastknot_core/src/agent/confirm_times.rs
+++ b/crates/mastknot_core/src/agent/confirm_times.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// Half of an entry's lease (350 ms). A slower confirmation counts as late.
+/// Time above which a confirmation counts as late: half of an entry's lease of 350 ms.
 const LATE: Duration = Duration::from_millis(175);
 
 /// Statistics of the times that entries took to confirm reports of a side.
--- a/crates/mastknot_core/src/agent/dial_backoff.rs
+++ b/crates/mastknot_core/src/agent/dial_backoff.rs
@@ -30,8 +30,8 @@
     /// 0.5 to 1.5.
     pub fn after_failure(&mut self, jitter: f64) -> Duration {
         let pause = self.pause;
-        let longest = MAX_AFTER_FAILURE.max(pause);
-        self.pause = (pause * 2).min(longest);
+        let max_pause = MAX_AFTER_FAILURE.max(pause);
+        self.pause = (pause * 2).min(max_pause);
         pause.mul_f64(jitter)
     }
 
--- a/crates/mastknot_core/src/agent/granting.rs
+++ b/crates/mastknot_core/src/agent/granting.rs
@@ -281,8 +281,8 @@
         if self.queued.is_empty() {
             return;
         }
-        let late = self.queued.take_if(|start| start.until <= now);
-        for start in late {
+        let expired = self.queued.take_if(|start| start.until <= now);
+        for start in expired {
             self.refuse_start(&start.owner, start.order.run, NotRunCause::NoRoom);
         }
         while let Some(start) = self.queued.take_first(&self.free_capacity()) {
--- a/crates/mastknot_core/src/agent/learning.rs
+++ b/crates/mastknot_core/src/agent/learning.rs
@@ -35,7 +35,7 @@
         self.learn_drained_halls(session, update.drained);
     }
 
-    /// Takes in the drained halls that an entry reports, unless the side knows a newer revision.
+    /// Adopts the drained halls that an entry reports, unless the side knows a newer revision.
     /// Entries that are not known to have this revision receive it with their next report.
     fn learn_drained_halls(&mut self, session: SessionId, drained: Arc<DrainedHalls>) {
         let key = self.sessions.get(&session);
@@ -113,10 +113,14 @@
     /// Returns the next time at which a request for the list of entries or a transfer of the
     /// configuration is due.
     pub(super) fn relay_due(&self) -> Option<Moment> {
-        let asked = self.directory.next_tick();
-        let fetched = self.fetch.next_tick(FETCH_DELAY);
-        let served = self.documents.next_tick();
-        asked.into_iter().chain(fetched).chain(served).min()
+        let directory_due = self.directory.next_tick();
+        let fetch_due = self.fetch.next_tick(FETCH_DELAY);
+        let transfer_due = self.documents.next_tick();
+        directory_due
+            .into_iter()
+            .chain(fetch_due)
+            .chain(transfer_due)
+            .min()
     }
 
     /// Returns the newest configuration that this side holds.
--- a/crates/mastknot_core/src/agent/offers.rs
+++ b/crates/mastknot_core/src/agent/offers.rs
@@ -96,11 +96,11 @@
     /// Returns the capacity that is reported to an entry as usable.
     pub(super) fn usable_by(&self, owner: &Owner, shared: &SharedCapacity) -> Capacity {
         let offered = owner.offer.map(|offer| offer.left).unwrap_or_default();
-        let shown = offered.with(&shared.shown);
+        let usable = offered.with(&shared.shown);
         match shared.is_granting {
             // Some of this capacity may still be in use; starts are queued here until it is free.
-            true => shown,
-            false => shown.smaller_of(&shared.free),
+            true => usable,
+            false => usable.smaller_of(&shared.free),
         }
     }
 
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Takes in the need that an entry reports after having received all reports up to the given
+    /// Records the need that an entry reports after having received all reports up to the given
     /// number.
     pub(super) fn take_need(
         &mut self,
@@ -161,7 +161,7 @@
         need: Option<WaitingNeed>,
     ) {
         let is_granting = self.is_granting();
-        let floor = self.lowest_turn_beside(key);
+        let floor = self.lowest_competing_turn(key);
         let Some(owner) = self.owners.get_mut(key) else {
             return;
         };
--- a/crates/mastknot_core/src/agent/orders.rs
+++ b/crates/mastknot_core/src/agent/orders.rs
@@ -235,7 +235,7 @@
 
     pub(super) fn retry_stops(&mut self, now: Moment) {
         let retry = self.settings.stop_retry;
-        let mut again = Vec::new();
+        let mut due_stops = Vec::new();
         for (id, run) in self.runs.iter_mut() {
             if let RunPhase::Stopping {
                 sent,
@@ -247,10 +247,10 @@
             {
                 *sent = now;
                 *times += 1;
-                again.push(*id);
+                due_stops.push(*id);
             }
         }
-        for id in again {
+        for id in due_stops {
             self.send_stop(id);
         }
     }
--- a/crates/mastknot_core/src/agent/probes.rs
+++ b/crates/mastknot_core/src/agent/probes.rs
@@ -40,8 +40,10 @@
     /// continue, should this process fail, after the entry regards the run as over. A target never
     /// shortens a hold.
     pub(super) fn is_held_past(&self, owner: &Owner) -> bool {
-        let over = owner.lease_from + self.settings.terms.run_over_after;
-        self.link.hold_ends().is_some_and(|ends| ends >= over)
+        let runs_over_at = owner.lease_from + self.settings.terms.run_over_after;
+        self.link
+            .hold_ends()
+            .is_some_and(|ends| ends >= runs_over_at)
     }
 
     fn oldest_lease_with_runs(&self) -> Option<Moment> {
--- a/crates/mastknot_core/src/agent/sharing.rs
+++ b/crates/mastknot_core/src/agent/sharing.rs
@@ -13,7 +13,7 @@
 const UNKNOWN_TASK_MS: u64 = 100;
 
 impl TargetAgent {
-    /// Takes in whether an entry lets halls share scarce capacity, and the weights of halls unless
+    /// Records whether an entry lets halls share scarce capacity, and the weights of halls unless
     /// the side knows a newer revision.
     pub(super) fn learn_shares(&mut self, session: SessionId, update: &EntryUpdate) {
         let key = self.sessions.get(&session);
@@ -63,12 +63,12 @@
     }
 
     /// Returns the lowest turn of the waiting entries with which an entry takes turns.
-    pub(super) fn lowest_turn_beside(&self, key: &OwnerKey) -> Option<u64> {
+    pub(super) fn lowest_competing_turn(&self, key: &OwnerKey) -> Option<u64> {
         let hall = self.owners.get(key).map(|owner| owner.hall.clone());
         let is_shared = self.shares_capacity();
         let waiting = self.owners.values().filter(|owner| owner.need.is_some());
-        let beside = waiting.filter(|owner| !is_shared || Some(&owner.hall) == hall.as_ref());
-        beside.map(|owner| owner.turn).min()
+        let competitors = waiting.filter(|owner| !is_shared || Some(&owner.hall) == hall.as_ref());
+        competitors.map(|owner| owner.turn).min()
     }
 
     /// Charges a start to the hall of its entry, regardless of the rank of the start and of the
--- a/crates/mastknot_core/src/agent/target_reports.rs
+++ b/crates/mastknot_core/src/agent/target_reports.rs
@@ -129,7 +129,7 @@
         runs.collect()
     }
 
-    /// Takes in a report of a target. A report of another incarnation than the known one ends the
+    /// Handles a report of a target. A report of another incarnation than the known one ends the
     /// known one only if the target, which is probed at once, confirms it.
     pub(super) fn target_reported(&mut self, now: Moment, report: TargetReport) {
         let target = report.profile.id.clone();
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Takes in a remembered profile. The profile is valid for the incarnation that reported it:
+    /// Handles a remembered profile. The profile is valid for the incarnation that reported it:
     /// orders and probes name this incarnation, and any other one refuses them.
     pub(super) fn target_remembered(&mut self, profile: TargetProfile) {
         let is_other = self.is_other_start_time(profile.id.started_at_ms);
--- a/crates/mastknot_core/src/agent/target_restarts.rs
+++ b/crates/mastknot_core/src/agent/target_restarts.rs
@@ -118,15 +118,15 @@
         }
         let going_on = self.runs_where(|_, run| run.since >= probed || run.is_unanswered());
         self.end_incarnation_except(now, &going_on);
-        let longest = TargetLink::max_hold_time(self.settings.max_hold);
-        self.link.unclear_until = Some(now + longest);
+        let max_hold_time = TargetLink::max_hold_time(self.settings.max_hold);
+        self.link.unclear_until = Some(now + max_hold_time);
     }
 
     /// Ends an incarnation and all of its runs except `going_on`. The next incarnation may have
     /// received the orders of these, so they are stopped.
     fn end_incarnation_except(&mut self, now: Moment, going_on: &[RunId]) {
-        let over = self.runs_where(|id, _| !going_on.contains(id));
-        self.end_incarnation_with(now, EndOfIncarnation::Crashed, &over);
+        let ended_runs = self.runs_where(|id, _| !going_on.contains(id));
+        self.end_incarnation_with(now, EndOfIncarnation::Crashed, &ended_runs);
         for run in going_on {
             self.stop_run(now, *run, EndOfRun::Lost);
         }
--- a/crates/mastknot_core/src/dispatch/pooled_side.rs
+++ b/crates/mastknot_core/src/dispatch/pooled_side.rs
@@ -124,8 +124,8 @@
     /// Returns the credits that expire within a third of the usable lifetime unless they are
     /// exchanged.
     pub(crate) fn expiring(&self, now: Moment) -> impl Iterator<Item = CreditSeq> + '_ {
-        let soon = now + self.usable_lifetime / 3;
-        let expiring = move |credit: &&HeldCredit| self.expires(credit) <= soon;
+        let renewal_limit = now + self.usable_lifetime / 3;
+        let expiring = move |credit: &&HeldCredit| self.expires(credit) <= renewal_limit;
         self.credits
             .iter()
             .filter(expiring)
--- a/crates/mastknot_core/src/dispatch/sides.rs
+++ b/crates/mastknot_core/src/dispatch/sides.rs
@@ -31,12 +31,12 @@
         let mut found = Vec::new();
         for (key, submission) in &self.active {
             for (index, attempts) in &submission.attempts {
-                let here = attempts.iter().filter(|attempt| attempt.side == *side);
+                let on_side = attempts.iter().filter(|attempt| attempt.side == *side);
                 let task = TaskId {
                     key: *key,
                     index: *index,
                 };
-                found.extend(here.map(|attempt| (task, attempt.clone())));
+                found.extend(on_side.map(|attempt| (task, attempt.clone())));
             }
         }
         found.sort_by_key(|(task, _)| *task);
--- a/crates/mastknot_core/src/entry/callers.rs
+++ b/crates/mastknot_core/src/entry/callers.rs
@@ -66,12 +66,12 @@
 
     /// Forgets a caller that has disconnected. Its submission continues, only the reply is dropped.
     pub(super) fn on_caller_gone(&mut self, request: RequestId) {
-        let gone = Waiter::Caller(request);
+        let disconnected = Waiter::Caller(request);
         for waiters in self.waiters.values_mut() {
-            waiters.retain(|waiter| *waiter != gone);
+            waiters.retain(|waiter| *waiter != disconnected);
         }
         self.forwards
-            .retain(|_, forwarded| forwarded.waiter != gone);
+            .retain(|_, forwarded| forwarded.waiter != disconnected);
     }
 
     pub(super) fn refuse(&mut self, waiter: &Waiter, refusal: Refusal, out: &mut Vec<EntryEffect>) {
--- a/crates/mastknot_core/src/job/lease_terms.rs
+++ b/crates/mastknot_core/src/job/lease_terms.rs
@@ -17,8 +17,7 @@
 pub struct LeaseTerms {
     /// Time between two heartbeats of one link.
     pub heartbeat: Duration,
-    /// Time after the report that an entry confirmed last, after which the side stops the entry's
-    /// runs.
+    /// Time from the last report that the entry confirmed until the side stops the entry's runs.
     pub entry_lease: Duration,
     /// Time for which a target keeps running after the last confirmed report.
     pub target_hold: Duration,
--- a/crates/mastknot_core/src/relay/document_fetch.rs
+++ b/crates/mastknot_core/src/relay/document_fetch.rs
@@ -122,12 +122,12 @@
         if transfer.bytes.len() < part.total as usize {
             return None;
         }
-        let whole = self.transfer.take()?;
-        self.received = self.received.max(whole.version);
+        let transfer = self.transfer.take()?;
+        self.received = self.received.max(transfer.version);
         self.behind_since = None;
         Some(ConfigDocument {
-            version: whole.version,
-            bytes: whole.bytes.into(),
+            version: transfer.version,
+            bytes: transfer.bytes.into(),
         })
     }
 
--- a/crates/mastknot_core/src/roster/peers.rs
+++ b/crates/mastknot_core/src/roster/peers.rs
@@ -71,7 +71,7 @@
         self.propose_due(now, out);
     }
 
-    /// Handles a VM that is gone from the platform's list. This proves the death of a member only
+    /// Handles a VM that is gone from the platform's list. This proves the end of a member only
     /// if the member is disconnected and silent too.
     pub fn vm_gone(&mut self, now: Now, vm: &NodeName, out: &mut Vec<MembershipEffect>) {
         let member = self
--- a/crates/mastknot_core/src/scheduler/containment.rs
+++ b/crates/mastknot_core/src/scheduler/containment.rs
@@ -198,7 +198,7 @@
         side: &NodeName,
         crash: &TargetCrash,
     ) -> Vec<TaskKind> {
-        let mut again = Vec::new();
+        let mut contained_again = Vec::new();
         for (kind, known) in &mut self.kinds {
             let begun = crash.runs.iter().filter(|run| run.has_begun);
             let mut of_kind = begun.filter(|run| run.kind == *kind).peekable();
@@ -212,13 +212,13 @@
                 known.record_crash(now);
             } else if is_cause {
                 known.contain_again(now);
-                again.push(*kind);
+                contained_again.push(*kind);
             }
             if is_cause {
                 known.record_crashed_side(side);
             }
         }
-        again
+        contained_again
     }
 
     /// Records that a task of the kind has crashed the target of a side.
--- a/crates/mastknot_core/src/scheduler/crash_history.rs
+++ b/crates/mastknot_core/src/scheduler/crash_history.rs
@@ -96,16 +96,17 @@
         }
         let known = self.known.iter();
         let known = known.filter(|known| explained.contains(&known.number));
-        let beside = known.flat_map(|known| known.tasks.iter().map(|task| (*task, known.number)));
-        let beside = beside.filter(|(task, _)| self.crashes_caused_by(task).is_empty());
-        let beside: Vec<(TaskRef, u64)> = beside.collect();
-        for (task, crash) in beside {
+        let ran_there =
+            known.flat_map(|known| known.tasks.iter().map(|task| (*task, known.number)));
+        let unrelated = ran_there.filter(|(task, _)| self.crashes_caused_by(task).is_empty());
+        let unrelated: Vec<(TaskRef, u64)> = unrelated.collect();
+        for (task, crash) in unrelated {
             self.forget_run(&task, crash);
         }
     }
 
-    /// Returns a recorded crash without the runs beside those that are confirmed to have caused it, or unchanged if
-    /// there are none.
+    /// Returns a recorded crash with only the runs that are confirmed to have caused it, or unchanged if there are no
+    /// such runs.
     pub(crate) fn without_unrelated_runs(&self, crash: &TargetCrash) -> TargetCrash {
         let mut known = self.known.iter().rev();
         let number = known.find(|known| known.target == crash.target);
@@ -248,8 +249,8 @@
             .iter()
             .map(|run| run.time_to_crash.abs_diff(first.time_to_crash))
             .max();
-        let beside = self.early_runs(first.crash_number);
-        let mut rivals = beside.filter(|run| run.kind != kind);
+        let early_runs = self.early_runs(first.crash_number);
+        let mut rivals = early_runs.filter(|run| run.kind != kind);
         rivals.any(|rival| {
             let mut differences = runs
                 .iter()
--- a/crates/mastknot_core/src/scheduler/drained_halls.rs
+++ b/crates/mastknot_core/src/scheduler/drained_halls.rs
@@ -40,8 +40,8 @@
 
     /// Returns the number of this entry's runs that continue in drained halls.
     pub fn runs_in_drained_halls(&self) -> usize {
-        let there = self.sides.values().filter(|side| side.is_hall_drained);
-        there.map(|side| side.runs.len()).sum()
+        let in_drained_halls = self.sides.values().filter(|side| side.is_hall_drained);
+        in_drained_halls.map(|side| side.runs.len()).sum()
     }
 
     /// Returns whether every linked side is in a drained hall. Nothing can run then until operators return a hall.
--- a/crates/mastknot_core/src/scheduler/gang_starts.rs
+++ b/crates/mastknot_core/src/scheduler/gang_starts.rs
@@ -69,7 +69,7 @@
             return true;
         };
         let step = job.step(task);
-        let most = match step.max_per_target {
+        let max_per_target = match step.max_per_target {
             0 => usize::MAX,
             most => usize::from(most),
         };
@@ -79,8 +79,8 @@
             }
             let is_open =
                 may_run(job, task, side) && self.is_allowed_by_isolation(now, job, task, side);
-            let most = if is_tried { 1 } else { most };
-            let slots = (capacity.count_of(&step.required_capacity) as usize).min(most);
+            let max_per_target = if is_tried { 1 } else { max_per_target };
+            let slots = (capacity.count_of(&step.required_capacity) as usize).min(max_per_target);
             left = left.saturating_sub(if is_open { slots } else { 0 });
         }
         left == 0
--- a/crates/mastknot_core/tests/changing_room.rs
+++ b/crates/mastknot_core/tests/changing_room.rs
@@ -132,9 +132,9 @@
 #[test]
 fn a_late_older_report_does_not_restore_the_capacity() {
     let mut side = Side::ready();
-    let late = resized(1_009, capacity(4_000, 4_096, 0));
+    let late_report = resized(1_009, capacity(4_000, 4_096, 0));
     resize(&mut side, 1_010, capacity(500, 4_096, 0));
-    side.step(1_011, AgentEvent::TargetReported(late));
+    side.step(1_011, AgentEvent::TargetReported(late_report));
     let effects = side.order(1_012, ENTRY, start(1, 1_000));
     assert_eq!(ends(&effects), [NO_CAPACITY]);
 }
--- a/crates/mastknot_core/tests/claiming.rs
+++ b/crates/mastknot_core/tests/claiming.rs
@@ -351,8 +351,8 @@
     let effects = abandon(&mut entry, 20);
     assert_eq!(stops(&effects), [run]);
     assert_eq!(releases(&effects), []);
-    let over = vec![ended(run, EndOfRun::Stopped)];
-    let effects = entry.status(70, side, 16_000, 1, None, over);
+    let ended_runs = vec![ended(run, EndOfRun::Stopped)];
+    let effects = entry.status(70, side, 16_000, 1, None, ended_runs);
     assert_eq!(releases(&effects), holders.map(|holder| (holder, 1)));
     assert_eq!(entry.scheduler.held_jobs(), 0);
 }
@@ -386,8 +386,8 @@
         let gaps = renewed.windows(2).map(|pair| pair[1] - pair[0]);
         assert!(gaps.max() <= Some(1_200), "{renewed:?}");
     }
-    let over = vec![ended(run, EndOfRun::Stopped)];
-    let effects = entry.status(3_010, side, 16_000, 1, None, over);
+    let ended_runs = vec![ended(run, EndOfRun::Stopped)];
+    let effects = entry.status(3_010, side, 16_000, 1, None, ended_runs);
     assert_eq!(releases(&effects), holders.map(|holder| (holder, 1)));
 }
 
--- a/crates/mastknot_core/tests/crash_evidence.rs
+++ b/crates/mastknot_core/tests/crash_evidence.rs
@@ -128,15 +128,15 @@
 /// A run that lasted as long as expected may have completed, with the report of its end lost in the crash.
 #[test]
 fn two_crashes_during_runs_that_may_have_ended_confirm_nothing() {
-    let late = |ran_ms| CrashedRun {
+    let possibly_ended = |ran_ms| CrashedRun {
         may_have_ended: true,
         ..crashed_run(7, 0, ran_ms)
     };
     let mut fixture = Fixture::new();
-    fixture.crash(10, 0, &[late(38)]);
-    fixture.crash(60, 1, &[late(32)]);
+    fixture.crash(10, 0, &[possibly_ended(38)]);
+    fixture.crash(60, 1, &[possibly_ended(32)]);
     assert!(!fixture.is_failed(70, 7));
-    fixture.crash(120, 2, &[late(35)]);
+    fixture.crash(120, 2, &[possibly_ended(35)]);
     assert!(
         fixture.is_failed(130, 7),
         "three similar crashes confirm the task"
@@ -313,8 +313,12 @@
 #[test]
 fn a_known_suspect_does_not_contain_its_kind_again() {
     let (mut fixture, bad, now) = released();
-    let beside = of_kind(crashed_run(11, 0, 15), bad);
-    fixture.crash(now + 10, 3, &[of_kind(crashed_run(6, 0, 12), bad), beside]);
+    let other_run = of_kind(crashed_run(11, 0, 15), bad);
+    fixture.crash(
+        now + 10,
+        3,
+        &[of_kind(crashed_run(6, 0, 12), bad), other_run],
+    );
     assert_eq!(fixture.entry.scheduler.counters().kinds_contained, 1);
     assert!(fixture.is_failed(now + 20, 6));
 
--- a/crates/mastknot_core/tests/crash_suspects.rs
+++ b/crates/mastknot_core/tests/crash_suspects.rs
@@ -92,8 +92,8 @@
     let effects = entry.submit(5, 1, job(7, 2, 60), 2_000);
     let second = starts(&effects)[1].1;
     report_crash(&mut entry, 10, "target-a", 7, 12);
-    let again = crash("target-b", &[(run_of(7, 0, 2), 12)]);
-    let effects = entry.reports(20, 0, vec![SideReport::TargetCrashed(again)]);
+    let second_crash = crash("target-b", &[(run_of(7, 0, 2), 12)]);
+    let effects = entry.reports(20, 0, vec![SideReport::TargetCrashed(second_crash)]);
     assert_eq!(answers(&effects), [(1, FAILED)]);
     let stops = effects.iter().filter(|effect| {
         use mastknot_core::scheduler::SchedulerEffect::Send;
@@ -175,8 +175,8 @@
         [side::run(1)]
     );
     let effects = side.order(1_003, OTHER, suspect(2, 15));
-    let apart = EndOfRun::NotRun(NotRunCause::OtherSuspect);
-    assert_eq!(side::ends(&effects), [apart]);
+    let other_suspect = EndOfRun::NotRun(NotRunCause::OtherSuspect);
+    assert_eq!(side::ends(&effects), [other_suspect]);
     let effects = side.order(1_004, OTHER, suspect(3, 80));
     assert_eq!(
         side::ordered(&effects).len(),
--- a/crates/mastknot_core/tests/job_claims.rs
+++ b/crates/mastknot_core/tests/job_claims.rs
@@ -202,11 +202,11 @@
     side.order(1_001, ENTRY, claim(5_000));
     side.order(1_002, OTHER, claim(2_000));
     link_down(&mut side, 1_010, ENTRY);
-    let again = SessionId(4);
-    side.join(1_100, again, "entry-1", 1);
-    let effects = side.order(1_101, again, claim(5_000));
-    assert_eq!(claim_answers(&effects), granted_to(again));
-    let granted = keep_acknowledging(&mut side, &[again, OTHER, THIRD], 1_110, 3_000);
+    let new_session = SessionId(4);
+    side.join(1_100, new_session, "entry-1", 1);
+    let effects = side.order(1_101, new_session, claim(5_000));
+    assert_eq!(claim_answers(&effects), granted_to(new_session));
+    let granted = keep_acknowledging(&mut side, &[new_session, OTHER, THIRD], 1_110, 3_000);
     assert_eq!(granted, []);
 }
 
@@ -215,12 +215,12 @@
     let mut side = side_with_entries();
     side.order(1_001, ENTRY, claim(5_000));
     link_down(&mut side, 1_010, ENTRY);
-    let again = SessionId(4);
-    side.join(1_100, again, "entry-1", 2);
-    let effects = side.order(1_101, again, claim(2_000));
-    assert_eq!(claim_answers(&effects), held_by(again, "entry-1"));
-    let granted = keep_acknowledging(&mut side, &[again, OTHER, THIRD], 1_110, 2_500);
-    assert_eq!(granted, [(1_610, again)]);
+    let new_session = SessionId(4);
+    side.join(1_100, new_session, "entry-1", 2);
+    let effects = side.order(1_101, new_session, claim(2_000));
+    assert_eq!(claim_answers(&effects), held_by(new_session, "entry-1"));
+    let granted = keep_acknowledging(&mut side, &[new_session, OTHER, THIRD], 1_110, 2_500);
+    assert_eq!(granted, [(1_610, new_session)]);
 }
 
 #[test]
--- a/crates/mastknot_core/tests/room_grants.rs
+++ b/crates/mastknot_core/tests/room_grants.rs
@@ -70,7 +70,7 @@
 }
 
 /// Returns the target's refusal of the order of a run, which frees its capacity.
-fn late(run: RunId) -> AgentEvent {
+fn refused_as_late(run: RunId) -> AgentEvent {
     let outcome = OrderOutcome::Refused(OrderRefusal::Late);
     AgentEvent::OrderAnswered { run, outcome }
 }
@@ -99,7 +99,7 @@
     let mut side = full_side();
     side.order(1_010, ENTRY, heartbeat(1, 0, 4_000));
     side.order(1_010, OTHER, heartbeat(1, 0, 4_000));
-    let mut effects = side.step(1_020, late(run(1)));
+    let mut effects = side.step(1_020, refused_as_late(run(1)));
     effects.extend(side.step(1_026, AgentEvent::Tick));
     let grants = [ENTRY, OTHER].map(|session| granted(&effects, session));
     let both: u32 = grants
@@ -116,7 +116,7 @@
     let mut side = full_side();
     side.order(1_010, ENTRY, heartbeat(1, 5, 4_000));
     side.order(1_010, OTHER, heartbeat(1, 1, 4_000));
-    let mut effects = side.step(1_020, late(run(1)));
+    let mut effects = side.step(1_020, refused_as_late(run(1)));
     effects.extend(side.step(1_026, AgentEvent::Tick));
     assert!(granted(&effects, OTHER).is_some(), "{effects:?}");
     assert!(granted(&effects, ENTRY).is_none(), "{effects:?}");
@@ -126,7 +126,7 @@
 fn a_start_on_a_grant_is_never_turned_away_while_it_is_valid() {
     let mut side = full_side();
     side.order(1_010, OTHER, heartbeat(1, 0, 2_000));
-    let mut effects = side.step(1_020, late(run(1)));
+    let mut effects = side.step(1_020, refused_as_late(run(1)));
     effects.extend(side.step(1_025, AgentEvent::Tick));
     let grant = granted(&effects, OTHER).expect("a grant");
     let last = 1_025 + u64::from(grant.valid_ms);
@@ -145,13 +145,13 @@
 fn a_start_that_comes_after_its_grant_expired_is_refused() {
     let mut side = full_side();
     side.order(1_010, OTHER, heartbeat(1, 0, 2_000));
-    let mut effects = side.step(1_020, late(run(1)));
+    let mut effects = side.step(1_020, refused_as_late(run(1)));
     effects.extend(side.step(1_025, AgentEvent::Tick));
     assert!(granted(&effects, OTHER).is_some());
-    let gone = 1_025 + RETURNED_WITHIN_MS;
-    side.order(gone, ENTRY, heartbeat(2, 0, 2_000));
-    side.order(gone + 5, ENTRY, start(7, 2_000));
-    let effects = side.order(gone + 6, OTHER, start(8, 2_000));
+    let expired_at = 1_025 + RETURNED_WITHIN_MS;
+    side.order(expired_at, ENTRY, heartbeat(2, 0, 2_000));
+    side.order(expired_at + 5, ENTRY, start(7, 2_000));
+    let effects = side.order(expired_at + 6, OTHER, start(8, 2_000));
     assert_eq!(ordered(&effects), []);
     assert_eq!(ends(&effects), [EndOfRun::NotRun(NotRunCause::NoRoom)]);
     assert!(!is_overfull(&side));
@@ -161,7 +161,7 @@
 fn grants_of_a_silent_entry_return() {
     let mut side = full_side();
     side.order(1_010, OTHER, heartbeat(1, 0, 2_000));
-    side.step(1_020, late(run(1)));
+    side.step(1_020, refused_as_late(run(1)));
     side.step(1_025, AgentEvent::Tick);
     // The entry is suspended or disconnected: its link stays up and nothing arrives.
     side.order(1_030, ENTRY, heartbeat(2, 0, 2_000));
@@ -174,7 +174,7 @@
 fn grants_of_a_killed_entry_return() {
     let mut side = full_side();
     side.order(1_010, OTHER, heartbeat(1, 0, 2_000));
-    side.step(1_020, late(run(1)));
+    side.step(1_020, refused_as_late(run(1)));
     side.step(1_025, AgentEvent::Tick);
     side.step(1_026, AgentEvent::LinkDown { session: OTHER });
     side.order(1_030, ENTRY, heartbeat(2, 0, 2_000));
@@ -186,7 +186,7 @@
 fn the_rest_of_a_grant_is_returned_with_the_next_heartbeat() {
     let mut side = full_side();
     side.order(1_010, OTHER, heartbeat(1, 0, 2_000));
-    let mut effects = side.step(1_020, late(run(1)));
+    let mut effects = side.step(1_020, refused_as_late(run(1)));
     effects.extend(side.step(1_025, AgentEvent::Tick));
     let number = reports_to(&effects, OTHER)[0].number;
     side.order(1_026, ENTRY, heartbeat(2, 0, 2_000));
@@ -312,8 +312,8 @@
     let (mut side, probed) = ending_soon();
     side.order(1_100, OTHER, start_with_wait(7, 0, 2_000, 20));
     side.step(1_101, AgentEvent::LinkDown { session: OTHER });
-    let again = SessionId(9);
-    let effects = side.join(1_103, again, "entry-2", 1);
+    let new_session = SessionId(9);
+    let effects = side.join(1_103, new_session, "entry-2", 1);
     let resumed = effects.iter().find_map(|effect| match effect {
         AgentEffect::Send {
             report: SideReport::Resume { running, ended, .. },
--- a/crates/mastknot_core/tests/room_offers.rs
+++ b/crates/mastknot_core/tests/room_offers.rs
@@ -48,13 +48,13 @@
 }
 
 /// Returns the target's refusal of the order of a run, which frees its capacity.
-fn late(run: RunId) -> AgentEvent {
+fn refused_as_late(run: RunId) -> AgentEvent {
     let outcome = OrderOutcome::Refused(OrderRefusal::Late);
     AgentEvent::OrderAnswered { run, outcome }
 }
 
 fn end_first_run(side: &mut Side, ms: u64) -> Vec<AgentEffect> {
-    side.step(ms, late(run(1)))
+    side.step(ms, refused_as_late(run(1)))
 }
 
 #[test]
@@ -149,7 +149,7 @@
     let mut now = 1_110;
     let mut ending = run(1);
     for job in 10..30 {
-        let mut effects = side.step(now, late(ending));
+        let mut effects = side.step(now, refused_as_late(ending));
         now += 5;
         effects.extend(side.step(now, AgentEvent::Tick));
         for (index, session) in [ENTRY, OTHER].into_iter().enumerate() {
--- a/crates/mastknot_core/tests/shares.rs
+++ b/crates/mastknot_core/tests/shares.rs
@@ -508,10 +508,10 @@
     let totals: Vec<(u64, u64)> = totals
         .map(|(_, total)| (total.due, total.obtained))
         .collect();
-    let whole: u64 = totals.iter().map(|(_, had)| had).sum();
+    let total_obtained: u64 = totals.iter().map(|(_, had)| had).sum();
     for (due, obtained) in totals {
         assert!(
-            obtained > 0 && due.abs_diff(obtained) * 20 <= whole,
+            obtained > 0 && due.abs_diff(obtained) * 20 <= total_obtained,
             "{due} due, {obtained} obtained"
         );
     }
--- a/crates/mastknot_core/tests/target_rebirths.rs
+++ b/crates/mastknot_core/tests/target_rebirths.rs
@@ -357,8 +357,8 @@
     let effects = side.step(1_012, AgentEvent::Probed { number, result });
     assert_eq!(ends(&effects), [EndOfRun::Crashed]);
     assert_eq!(stopped(&effects), [run(2)]);
-    let over = 1_012 + 1_031;
-    side.step(over, AgentEvent::Tick);
+    let runs_over_at = 1_012 + 1_031;
+    side.step(runs_over_at, AgentEvent::Tick);
     assert!(
         side.agent.runs().is_empty(),
         "no incarnation was found again"
--- a/crates/mastknot_core/tests/unanswered_stops.rs
+++ b/crates/mastknot_core/tests/unanswered_stops.rs
@@ -54,8 +54,8 @@
     side.order(1_001, ENTRY, start(1, 1_000));
     side.order(1_010, ENTRY, EntryOrder::Stop(run(1)));
     let first = side.step(1_060, stop_answered(false));
-    let again = side.step(1_110, AgentEvent::Tick);
-    assert_eq!(stopped(&again), [run(1)]);
+    let retried = side.step(1_110, AgentEvent::Tick);
+    assert_eq!(stopped(&retried), [run(1)]);
     let second = side.step(1_160, stop_answered(false));
     let unanswered = |times, since_ms| AgentDecision::StopUnanswered {
         run: run(1),
@@ -75,8 +75,8 @@
     let effects = side.order(1_001, ENTRY, start(1, 1_000));
     let first = answer_listing(&mut side, 1_020, &effects, &[1, 2]);
     let second = answer_listing(&mut side, 1_040, &first, &[1, 2]);
-    let gone = answer_listing(&mut side, 1_060, &second, &[1]);
-    let again = answer_listing(&mut side, 1_080, &gone, &[1, 2]);
+    let not_listed = answer_listing(&mut side, 1_060, &second, &[1]);
+    let listed_again = answer_listing(&mut side, 1_080, &not_listed, &[1, 2]);
     let unclaimed = AgentDecision::Unclaimed {
         run: run(2),
         percent: 40,
@@ -84,6 +84,6 @@
     assert_eq!(stop_decisions(&first), std::slice::from_ref(&unclaimed));
     assert_eq!(stop_decisions(&second), []);
     assert_eq!(stopped(&second), [run(2)]);
-    assert_eq!(stop_decisions(&gone), []);
-    assert_eq!(stop_decisions(&again), [unclaimed]);
+    assert_eq!(stop_decisions(&not_listed), []);
+    assert_eq!(stop_decisions(&listed_again), [unclaimed]);
 }
--- a/crates/mastknot_load/src/bench/compare.rs
+++ b/crates/mastknot_load/src/bench/compare.rs
@@ -187,10 +187,10 @@
     report.response_over_omniscient_p99 = ratio(&mut ours, &mut best, 0.99);
     let delays = plan.profile.delays();
     let round_trips = 2 * (delays.to_callers + delays.within_hall);
-    let mut over = ratios_to_own_ideal(workload, outcomes, round_trips);
-    report.response_over_ideal_p50 = quantile(&mut over, 0.5);
-    report.response_over_ideal_p99 = quantile(&mut over, 0.99);
-    report.response_over_ideal_p999 = quantile(&mut over, 0.999);
+    let mut ratios = ratios_to_own_ideal(workload, outcomes, round_trips);
+    report.response_over_ideal_p50 = quantile(&mut ratios, 0.5);
+    report.response_over_ideal_p99 = quantile(&mut ratios, 0.99);
+    report.response_over_ideal_p999 = quantile(&mut ratios, 0.999);
     report.completed = ours.len() as u64;
     report.failed = outcomes.len() as u64 - report.completed - report.refused;
     let done = workload.arrivals.iter().zip(outcomes);
--- a/crates/mastknot_load/tests/capacity.rs
+++ b/crates/mastknot_load/tests/capacity.rs
@@ -28,7 +28,7 @@
 
 /// Returns the figure of the busiest node, which is the last one in a cell that also has the figure
 /// of a median node.
-fn busiest(cell: &str) -> f64 {
+fn busiest_figure(cell: &str) -> f64 {
     number(cell.rsplit(", ").next().unwrap_or_default())
 }
 
@@ -42,7 +42,7 @@
         };
         Row {
             name: name.trim().to_owned(),
-            measured: busiest(measured),
+            measured: busiest_figure(measured),
             power: number(power),
             extrapolated: number(extrapolated),
         }
--- a/crates/mastknot_runtime/src/metrics/loop_delay.rs
+++ b/crates/mastknot_runtime/src/metrics/loop_delay.rs
@@ -50,10 +50,10 @@
         loop {
             let due = Instant::now() + INTERVAL;
             sleep(INTERVAL).await;
-            let late = due.elapsed();
-            self.seconds.observe(late.as_secs_f64());
-            if late > LOG_THRESHOLD {
-                warn!(late_ms = late.as_millis() as u64; "event loop was blocked");
+            let delay = due.elapsed();
+            self.seconds.observe(delay.as_secs_f64());
+            if delay > LOG_THRESHOLD {
+                warn!(late_ms = delay.as_millis() as u64; "event loop was blocked");
             }
             let suspended_now = suspended_so_far();
             let suspended_for = suspended_now.saturating_sub(suspended);
--- a/crates/mastknot_runtime/src/shared_store/own_listing.rs
+++ b/crates/mastknot_runtime/src/shared_store/own_listing.rs
@@ -38,7 +38,7 @@
             sleep(settings.retry_pause).await;
             continue;
         };
-        info!(key = key.as_str(), lease = lease.id; "listed in the store");
+        info!(key = key.as_str(), lease = lease.id; "own key listed in the store");
         rewriting.overwritten.mark_unchanged();
         // The lease is renewed in parallel with rewrites, whose pauses may be longer than the lease.
         tokio::select! {
--- a/crates/mastknot_runtime/src/store/store_error.rs
+++ b/crates/mastknot_runtime/src/store/store_error.rs
@@ -33,7 +33,7 @@
     #[snafu(display("the store's answer holds malformed base64"))]
     MalformedBase64,
     /// A watch requested a revision that the store has compacted.
-    #[snafu(display("the store keeps nothing before revision {oldest}"))]
+    #[snafu(display("the store has discarded the changes before revision {oldest}"))]
     Compacted {
         /// Oldest revision that the store keeps.
         oldest: u64,
--- a/crates/mastknot_virtual/src/jobs/bad_tasks.rs
+++ b/crates/mastknot_virtual/src/jobs/bad_tasks.rs
@@ -17,7 +17,7 @@
     /// Time from the start of a task to the crash.
     pub after: Duration,
     /// Time until the target starts again.
-    pub down: Duration,
+    pub downtime: Duration,
     /// Whether the crashed target is silent. Otherwise it resets and refuses connections.
     pub is_silent: bool,
 }
@@ -104,11 +104,11 @@
             self.reset_probe(side);
         }
         self.crash_target(side, crash.is_silent);
-        let down = crash.down.as_micros() as u64;
-        self.schedule_in(down, Action::StartTarget { side });
+        let downtime = crash.downtime.as_micros() as u64;
+        self.schedule_in(downtime, Action::StartTarget { side });
     }
 
-    /// Resets the connection of the probe that waits at a target that dies.
+    /// Resets the connection of the probe that waits at a target that crashes.
     fn reset_probe(&mut self, side: usize) {
         let Some(open) = self.targets[side].open_probe.take() else {
             return;
--- a/crates/mastknot_virtual/src/jobs/delayed_requests.rs
+++ b/crates/mastknot_virtual/src/jobs/delayed_requests.rs
@@ -74,7 +74,7 @@
         at
     }
 
-    /// Delivers a delayed event of a caller to its entry, unless the entry has died since.
+    /// Delivers a delayed event of a caller to its entry, unless the entry has been killed since.
     pub(super) fn deliver_delayed(
         &mut self,
         entry: usize,
--- a/crates/mastknot_virtual/src/jobs/draining.rs
+++ b/crates/mastknot_virtual/src/jobs/draining.rs
@@ -27,7 +27,7 @@
 pub enum DrainVariant {
     /// The processes behave correctly.
     Correct,
-    /// Sides start whatever the entries order, even in a drained hall.
+    /// Sides carry out all start orders of entries, even in a drained hall.
     SidesDoNotEnforce,
     /// The update that arrives last takes effect, regardless of its revision.
     LastMessageWins,
@@ -132,8 +132,8 @@
         }
         let unreachable_until = self.store_unreachable_until[entry];
         if unreachable_until > self.now {
-            let back = unreachable_until - self.now + MAX_REREAD_DELAY;
-            self.plan_read_drained(entry, back);
+            let reread_delay = unreachable_until - self.now + MAX_REREAD_DELAY;
+            self.plan_read_drained(entry, reread_delay);
             return;
         }
         let mut drained = Arc::clone(&self.drained);
--- a/crates/mastknot_virtual/src/jobs/fault_handling.rs
+++ b/crates/mastknot_virtual/src/jobs/fault_handling.rs
@@ -9,9 +9,9 @@
 impl JobSystem {
     pub(super) fn apply_fault(&mut self, fault: JobFault) {
         match fault {
-            JobFault::KillEntry { entry, down } => {
+            JobFault::KillEntry { entry, downtime } => {
                 self.kill_entry(entry);
-                self.schedule_in(down.as_micros() as u64, Action::StartEntry { entry });
+                self.schedule_in(downtime.as_micros() as u64, Action::StartEntry { entry });
             }
             JobFault::PauseEntry { entry, time } => {
                 self.entries[entry].paused_until = self.now + time.as_micros() as u64;
@@ -24,9 +24,9 @@
             JobFault::SuspendSide { side, time } => {
                 self.sides[side].suspend(self.now, time);
             }
-            JobFault::KillSide { side, down } => {
+            JobFault::KillSide { side, downtime } => {
                 self.kill_side(side);
-                self.schedule_in(down.as_micros() as u64, Action::StartSide { side });
+                self.schedule_in(downtime.as_micros() as u64, Action::StartSide { side });
             }
             JobFault::PauseSide { side, time } => {
                 self.sides[side].paused_until = self.now + time.as_micros() as u64;
@@ -53,11 +53,11 @@
             }
             JobFault::CrashTarget {
                 side,
-                down,
+                downtime,
                 is_silent,
             } => {
                 self.crash_target(side, is_silent);
-                self.schedule_in(down.as_micros() as u64, Action::StartTarget { side });
+                self.schedule_in(downtime.as_micros() as u64, Action::StartTarget { side });
             }
             JobFault::DelayReports { side, time } => {
                 self.targets[side].reports_delayed_until = self.now + time.as_micros() as u64;
--- a/crates/mastknot_virtual/src/jobs/job_faults.rs
+++ b/crates/mastknot_virtual/src/jobs/job_faults.rs
@@ -21,7 +21,7 @@
         /// Index of the entry.
         entry: usize,
         /// Time until the process or target starts again.
-        down: Duration,
+        downtime: Duration,
     },
     /// An entry is paused; its clock continues to run.
     PauseEntry {
@@ -49,7 +49,7 @@
         /// Index of the side.
         side: usize,
         /// Time until the process or target starts again.
-        down: Duration,
+        downtime: Duration,
     },
     /// A side is paused; its target continues to run.
     PauseSide {
@@ -95,7 +95,7 @@
         /// Index of the target's side.
         side: usize,
         /// Time until the process or target starts again.
-        down: Duration,
+        downtime: Duration,
         /// Whether the target is silent while it is down. Otherwise it refuses connections.
         is_silent: bool,
     },
--- a/crates/mastknot_virtual/src/jobs/limited_links.rs
+++ b/crates/mastknot_virtual/src/jobs/limited_links.rs
@@ -119,7 +119,7 @@
         &self.link_record
     }
 
-    /// Sends a message; its arrival is performed as `action`.
+    /// Sends a message; `action` is performed when the message arrives.
     pub(super) fn transmit<M: Encode>(
         &mut self,
         session: SessionId,
--- a/crates/mastknot_virtual/src/jobs/targets.rs
+++ b/crates/mastknot_virtual/src/jobs/targets.rs
@@ -307,7 +307,7 @@
     ) {
         self.advance_target(side);
         let now = self.now;
-        // A target that dies loses the calls that it has read and not applied yet.
+        // A target that crashes loses the calls that it has read and not applied yet.
         let has_died = self.targets[side].target_incarnation != target_incarnation && !is_answered;
         let Some(target) = self.targets[side].target.as_mut().filter(|_| !has_died) else {
             return;
@@ -398,7 +398,7 @@
         self.schedule_in(TARGET_DELAY, answered);
     }
 
-    /// Delivers the answer to a probe. A target that dies resets its connections, so an answer that is under
+    /// Delivers the answer to a probe. A target that crashes resets its connections, so an answer that is under
     /// way then is lost.
     pub(super) fn probe_answered(
         &mut self,
--- a/crates/mastknot_virtual/src/jobs/virtual_target.rs
+++ b/crates/mastknot_virtual/src/jobs/virtual_target.rs
@@ -127,17 +127,17 @@
         let mut ends = Vec::new();
         for (run, state) in &self.runs {
             match state.ends {
-                Some((at, how)) if at <= now => ends.push((*run, how)),
+                Some((at, reason)) if at <= now => ends.push((*run, reason)),
                 _ if is_hold_expired => ends.push((*run, FinishReason::HoldExpired)),
                 _ => {}
             }
         }
-        let ended = ends.iter().map(|(run, how)| TargetEnd {
+        let ended = ends.iter().map(|(run, reason)| TargetEnd {
             run: *run,
-            is_done: *how == FinishReason::Done,
+            is_done: *reason == FinishReason::Done,
         });
         let ended = ended.collect();
-        for (run, how) in ends {
+        for (run, reason) in ends {
             self.runs.remove(&run);
             self.fence(run);
             self.next_end += 1;
@@ -145,7 +145,7 @@
             self.finished.push(TargetFinished {
                 number,
                 run,
-                reason: how,
+                reason,
             });
         }
         ended
@@ -157,8 +157,8 @@
     }
 
     fn extend_hold(&mut self, now: u64, until_ms: u64) {
-        let longest = self.clock_ms(now) + self.max_hold_ms;
-        self.hold_until_ms = self.hold_until_ms.max(until_ms.min(longest));
+        let max_until_ms = self.clock_ms(now) + self.max_hold_ms;
+        self.hold_until_ms = self.hold_until_ms.max(until_ms.min(max_until_ms));
     }
 
     /// Returns the capacity that all runs use, including those that are being stopped.
--- a/crates/mastknot_virtual/src/system/sides.rs
+++ b/crates/mastknot_virtual/src/system/sides.rs
@@ -112,9 +112,9 @@
             .is_some_and(|since| self.now > since + LEAVING_GRACE.as_micros() as u64);
         let run = side.next_run;
         side.next_run += 1;
-        let asked = run_micros(&order.payload);
+        let run_micros_requested = run_micros(&order.payload);
         let limit = u64::from(order.deadline_ms) * 1_000;
-        let time = (asked * side.slow_percent / 100).min(limit);
+        let time = (run_micros_requested * side.slow_percent / 100).min(limit);
         let incarnation = side.settings.incarnation;
         let name = side.settings.side.clone();
         side.runs.insert(task, (run, order.payload));
--- a/crates/mastknot_virtual/tests/clock_of_another_life.rs
+++ b/crates/mastknot_virtual/tests/clock_of_another_life.rs
@@ -11,10 +11,10 @@
     Duration::from_millis(ms)
 }
 
-fn crash(ms: u64, down: u64) -> JobFaultPlan {
+fn crash(ms: u64, downtime: u64) -> JobFaultPlan {
     let fault = JobFault::CrashTarget {
         side: 0,
-        down: millis(down),
+        downtime: millis(downtime),
         is_silent: true,
     };
     let at = millis(ms);
@@ -33,10 +33,10 @@
     if keep_names {
         system.keep_target_names();
     }
-    let (side, down, time) = (0, millis(700), millis(1_200));
+    let (side, downtime, time) = (0, millis(700), millis(1_200));
     system.plan(JobFaultPlan {
         at: millis(1_000),
-        fault: JobFault::KillSide { side, down },
+        fault: JobFault::KillSide { side, downtime },
     });
     system.plan(crash(1_200, 50));
     system.plan(crash(2_400 + seed, 9));
--- a/crates/mastknot_virtual/tests/configuration_growth.rs
+++ b/crates/mastknot_virtual/tests/configuration_growth.rs
@@ -135,8 +135,8 @@
     system.publish(ms(2_000), 2, LARGE_CONFIG, &ALL);
     system.run_until(ms(5_000));
     system.set_store_reachable(false);
-    let down = ms(200);
-    let fault = JobFault::KillEntry { entry: 3, down };
+    let downtime = ms(200);
+    let fault = JobFault::KillEntry { entry: 3, downtime };
     system.plan(JobFaultPlan {
         at: ms(5_000),
         fault,
@@ -181,7 +181,7 @@
 fn widespread_faults() -> Vec<(&'static str, Vec<JobFault>)> {
     let entries = 0..ENTRIES;
     let sides = 0..SIDES;
-    let down = ms(100);
+    let downtime = ms(100);
     let second = ms(1_000);
     let time = ms(3_000);
     let pairs = entries
@@ -198,14 +198,14 @@
             "all entries restarted",
             entries
                 .clone()
-                .map(|entry| JobFault::KillEntry { entry, down })
+                .map(|entry| JobFault::KillEntry { entry, downtime })
                 .collect(),
         ),
         (
             "all sides restarted",
             sides
                 .clone()
-                .map(|side| JobFault::KillSide { side, down })
+                .map(|side| JobFault::KillSide { side, downtime })
                 .collect(),
         ),
         (
--- a/crates/mastknot_virtual/tests/contained_kinds.rs
+++ b/crates/mastknot_virtual/tests/contained_kinds.rs
@@ -20,7 +20,7 @@
 const CRASH: TaskCrash = TaskCrash {
     tasks: 1,
     after: Duration::from_millis(10),
-    down: Duration::from_millis(3_300),
+    downtime: Duration::from_millis(3_300),
     is_silent: false,
 };
 /// Share of completed jobs from which a queue counts as served in a window.
@@ -221,13 +221,13 @@
 fn shares_after_a_restart_of_all(seed: u64, bad: usize) -> Vec<f64> {
     let mut simulation = simulate(seed, SMALL, END_MS, &[bad], BAD_SPAN);
     let at = millis(8_500);
-    let down = millis(300);
+    let downtime = millis(300);
     for entry in 0..SMALL.entries {
-        let fault = JobFault::KillEntry { entry, down };
+        let fault = JobFault::KillEntry { entry, downtime };
         simulation.system.plan(JobFaultPlan { at, fault });
     }
     for side in 0..SMALL.sides {
-        let fault = JobFault::KillSide { side, down };
+        let fault = JobFault::KillSide { side, downtime };
         simulation.system.plan(JobFaultPlan { at, fault });
     }
     simulation.system.run_until(millis(END_MS + 4_000));
@@ -321,12 +321,12 @@
             let at = millis(rng.random_range(1_500..15_000));
             let count = [1, 1, 1, 3, 4][rng.random_range(0..5)];
             let first = rng.random_range(0..SMALL.sides);
-            let down = millis(rng.random_range(300..4_000));
+            let downtime = millis(rng.random_range(300..4_000));
             let is_silent = rng.random_bool(0.3);
             for side in first..(first + count).min(SMALL.sides) {
                 let fault = JobFault::CrashTarget {
                     side,
-                    down,
+                    downtime,
                     is_silent,
                 };
                 simulation.system.plan(JobFaultPlan { at, fault });
--- a/crates/mastknot_virtual/tests/copies.rs
+++ b/crates/mastknot_virtual/tests/copies.rs
@@ -195,9 +195,15 @@
     let behaviour = behaviours[rng.random_range(0..behaviours.len())];
     let is_silent = rng.random_bool(0.5);
     match rng.random_range(0..12) {
-        0 | 1 => JobFault::KillEntry { entry, down: time },
+        0 | 1 => JobFault::KillEntry {
+            entry,
+            downtime: time,
+        },
         2 => JobFault::PauseEntry { entry, time },
-        3 => JobFault::KillSide { side, down: time },
+        3 => JobFault::KillSide {
+            side,
+            downtime: time,
+        },
         4 => JobFault::PauseSide { side, time },
         5 | 6 => JobFault::PartitionLink {
             entry,
@@ -210,7 +216,7 @@
         9 => JobFault::SuspendEntry { entry, time },
         10 => JobFault::CrashTarget {
             side,
-            down: time,
+            downtime: time,
             is_silent,
         },
         _ => JobFault::Misbehave {
@@ -242,8 +248,8 @@
 }
 
 fn random_histories(is_left_out: impl Fn(&JobFault) -> bool) {
-    let asked = std::env::var("MASTKNOT_HISTORIES").ok();
-    let count = asked
+    let requested_count = std::env::var("MASTKNOT_HISTORIES").ok();
+    let count = requested_count
         .and_then(|text| text.parse().ok())
         .unwrap_or(CI_HISTORIES);
     let first = std::env::var("MASTKNOT_FIRST_HISTORY").ok();
@@ -304,11 +310,11 @@
     for seed in 0..SEEDS {
         let mut system = system(seed);
         let jobs = load(&mut system, 8_000);
-        let down = millis(4_000);
+        let downtime = millis(4_000);
         plan(
             &mut system,
             KILLED_AT,
-            JobFault::KillEntry { entry: 0, down },
+            JobFault::KillEntry { entry: 0, downtime },
         );
         system.run_until(millis(17_000));
         assert_eq!(faults_found(&system), None, "seed {seed}");
--- a/crates/mastknot_virtual/tests/copies_beside_faults.rs
+++ b/crates/mastknot_virtual/tests/copies_beside_faults.rs
@@ -96,9 +96,9 @@
     }
 }
 
-fn assert_alone_when_killed(down: u64) {
-    let down = millis(down);
-    assert_duplicates_run_alone(|side| vec![JobFault::KillSide { side, down }]);
+fn assert_alone_when_killed(downtime_ms: u64) {
+    let downtime = millis(downtime_ms);
+    assert_duplicates_run_alone(|side| vec![JobFault::KillSide { side, downtime }]);
 }
 
 fn assert_alone_when_paused(time: u64) {
@@ -153,12 +153,12 @@
 /// Returns faults that restart all sides, `apart` milliseconds after each other, so that none of them remembers a
 /// claim.
 fn all_killed(first: usize, apart: u64) -> Vec<JobFault> {
-    let down = |side: usize| millis(250 + apart * ((side + first) % SIDES) as u64);
+    let downtime = |side: usize| millis(250 + apart * ((side + first) % SIDES) as u64);
     let sides = 0..SIDES;
     sides
         .map(|side| JobFault::KillSide {
             side,
-            down: down(side),
+            downtime: downtime(side),
         })
         .collect()
 }
--- a/crates/mastknot_virtual/tests/crashing_tasks.rs
+++ b/crates/mastknot_virtual/tests/crashing_tasks.rs
@@ -31,7 +31,7 @@
 const CRASH: TaskCrash = TaskCrash {
     tasks: 2,
     after: Duration::from_millis(10),
-    down: Duration::from_secs(3),
+    downtime: Duration::from_secs(3),
     is_silent: false,
 };
 
@@ -175,14 +175,14 @@
 fn faults_beside() -> Vec<JobFault> {
     let mut faults = Vec::new();
     for entry in 0..2 {
-        let down = millis(250);
+        let downtime = millis(250);
         let time = millis(900);
-        faults.push(JobFault::KillEntry { entry, down });
+        faults.push(JobFault::KillEntry { entry, downtime });
         faults.push(JobFault::PauseEntry { entry, time });
     }
     for side in 0..SIDES {
-        let down = millis(150);
-        faults.push(JobFault::KillSide { side, down });
+        let downtime = millis(150);
+        faults.push(JobFault::KillSide { side, downtime });
         faults.push(JobFault::ResetLink { entry: 0, side });
         faults.push(JobFault::SilenceLink { entry: 0, side });
     }
@@ -218,12 +218,12 @@
         let at = millis(rng.random_range(1_500..15_000));
         let count = [1, 1, 1, 3, 4][rng.random_range(0..5)];
         let first = rng.random_range(0..SIDES);
-        let down = millis(rng.random_range(300..4_000));
+        let downtime = millis(rng.random_range(300..4_000));
         let is_silent = rng.random_bool(0.3);
         for side in first..(first + count).min(SIDES) {
             let fault = JobFault::CrashTarget {
                 side,
-                down,
+                downtime,
                 is_silent,
             };
             system.plan(JobFaultPlan { at, fault });
--- a/crates/mastknot_virtual/tests/drained_halls.rs
+++ b/crates/mastknot_virtual/tests/drained_halls.rs
@@ -146,17 +146,17 @@
 fn lose_all_power(system: &mut JobSystem, at: u64) {
     let mut plan = |fault| system.plan(JobFaultPlan { at: ms(at), fault });
     for entry in 0..ENTRIES {
-        let down = ms(300 + 20 * entry as u64);
-        plan(JobFault::KillEntry { entry, down });
+        let downtime = ms(300 + 20 * entry as u64);
+        plan(JobFault::KillEntry { entry, downtime });
     }
     for side in 0..SIDES {
-        let down = ms(300 + 10 * side as u64);
-        plan(JobFault::KillSide { side, down });
-        let down = ms(600);
+        let downtime = ms(300 + 10 * side as u64);
+        plan(JobFault::KillSide { side, downtime });
+        let downtime = ms(600);
         let is_silent = true;
         plan(JobFault::CrashTarget {
             side,
-            down,
+            downtime,
             is_silent,
         });
     }
@@ -192,13 +192,13 @@
         let at = rng.random_range(1_000..7_000);
         system.drain(ms(at), hall);
         if rng.random_bool(0.5) {
-            let back = at
+            let returned_at = at
                 + *[60, 1_000, 6_500]
                     .get(rng.random_range(0..3))
                     .unwrap_or(&60);
-            system.return_drained_hall(ms(back), hall);
+            system.return_drained_hall(ms(returned_at), hall);
             if rng.random_bool(0.3) {
-                system.drain(ms(back + rng.random_range(1..100)), hall);
+                system.drain(ms(returned_at + rng.random_range(1..100)), hall);
             }
         }
     }
@@ -224,10 +224,10 @@
     let entry = rng.random_range(0..ENTRIES);
     let side = rng.random_range(0..SIDES);
     let time = ms(rng.random_range(100..3_000));
-    let down = time;
+    let downtime = time;
     match rng.random_range(0..8) {
-        0 => JobFault::KillEntry { entry, down },
-        1 => JobFault::KillSide { side, down },
+        0 => JobFault::KillEntry { entry, downtime },
+        1 => JobFault::KillSide { side, downtime },
         2 => JobFault::PauseEntry { entry, time },
         3 => JobFault::PauseSide { side, time },
         4 => JobFault::PartitionLink {
@@ -240,7 +240,7 @@
         6 => JobFault::SilenceLink { entry, side },
         _ => JobFault::CrashTarget {
             side,
-            down,
+            downtime,
             is_silent: rng.random_bool(0.5),
         },
     }
--- a/crates/mastknot_virtual/tests/ended_before_crash.rs
+++ b/crates/mastknot_virtual/tests/ended_before_crash.rs
@@ -33,7 +33,7 @@
     for (side, at) in crashes.iter().copied() {
         let fault = JobFault::CrashTarget {
             side,
-            down: DOWN,
+            downtime: DOWN,
             is_silent: false,
         };
         system.plan(JobFaultPlan { at, fault });
--- a/crates/mastknot_virtual/tests/found_failures.rs
+++ b/crates/mastknot_virtual/tests/found_failures.rs
@@ -37,9 +37,9 @@
         fault: MessageFault::Lost,
         count: 1,
     });
-    let mut asked = request(key, "pay", 20);
-    asked.deadline_ms = 1_000;
-    let request = system.submit(0, asked);
+    let mut submission = request(key, "pay", 20);
+    submission.deadline_ms = 1_000;
+    let request = system.submit(0, submission);
     system.run_for(Duration::from_secs(3));
     let Some(Reply::Refused(refusal)) = system.reply(request) else {
         panic!("{:?}", system.reply(request));
@@ -58,10 +58,10 @@
     system.run_for(Duration::from_secs(1));
     assert!(is_complete(system.reply(first)));
     system.kill_entry(1);
-    let again = system.submit(0, job(key, 2, 50));
+    let resubmitted = system.submit(0, job(key, 2, 50));
     system.run_for(Duration::from_secs(1));
-    let Some(Reply::Refused(refusal)) = system.reply(again) else {
-        panic!("{:?}", system.reply(again));
+    let Some(Reply::Refused(refusal)) = system.reply(resubmitted) else {
+        panic!("{:?}", system.reply(resubmitted));
     };
     assert_eq!(refusal.ran, Ran::Unknown);
     assert_kept(&system);
@@ -91,12 +91,12 @@
     system.run_for(Duration::from_secs(1));
     system.kill_entry(1);
     system.run_for(Duration::from_secs(4));
-    let again = system.submit(0, job(key, 3, 50));
+    let resubmitted = system.submit(0, job(key, 3, 50));
     system.run_for(Duration::from_secs(2));
     assert!(
-        is_complete(system.reply(again)),
+        is_complete(system.reply(resubmitted)),
         "{:?}",
-        system.reply(again)
+        system.reply(resubmitted)
     );
     assert_eq!(system.audit.total_starts(), 3);
     assert_kept(&system);
@@ -116,11 +116,11 @@
         is_complete(system.reply(first)),
         "jobs in flight are completed"
     );
-    let again = system.submit(0, job(key, 3, 400));
+    let resubmitted = system.submit(0, job(key, 3, 400));
     let new_key = system.new_key();
     let new = system.submit(0, job(new_key, 3, 50));
     system.run_for(Duration::from_secs(2));
-    assert_eq!(system.reply(first), system.reply(again));
+    assert_eq!(system.reply(first), system.reply(resubmitted));
     assert!(is_complete(system.reply(new)));
     assert_eq!(system.audit.total_starts(), 6);
     assert_kept(&system);
@@ -136,9 +136,9 @@
     assert!(is_complete(system.reply(first)));
     system.pause_entry(1, Duration::from_secs(30));
     system.run_for(Duration::from_secs(6));
-    let again = system.submit(0, job(key, 3, 50));
+    let resubmitted = system.submit(0, job(key, 3, 50));
     system.run_for(Duration::from_secs(1));
-    assert_eq!(system.reply(again), system.reply(first));
+    assert_eq!(system.reply(resubmitted), system.reply(first));
     assert_eq!(system.audit.total_starts(), 3);
     assert_kept(&system);
 }
--- a/crates/mastknot_virtual/tests/holds_of_others.rs
+++ b/crates/mastknot_virtual/tests/holds_of_others.rs
@@ -57,9 +57,9 @@
 /// Guards against a run under an old lease that goes on until the end of the hold for another entry's younger lease.
 #[test]
 fn a_start_under_an_old_lease_is_not_held_by_a_younger_one() {
-    let (side, down, time) = (0, millis(4_000), millis(4_000));
+    let (side, downtime, time) = (0, millis(4_000), millis(4_000));
     let ends = [
-        JobFault::KillSide { side, down },
+        JobFault::KillSide { side, downtime },
         JobFault::PauseSide { side, time },
         JobFault::SuspendSide { side, time },
     ];
--- a/crates/mastknot_virtual/tests/job_faults.rs
+++ b/crates/mastknot_virtual/tests/job_faults.rs
@@ -91,14 +91,14 @@
             "entry killed",
             JobFault::KillEntry {
                 entry: 0,
-                down: millis(200),
+                downtime: millis(200),
             },
         ),
         (
             "entry down for long",
             JobFault::KillEntry {
                 entry: 0,
-                down: millis(4_000),
+                downtime: millis(4_000),
             },
         ),
         (
@@ -140,21 +140,21 @@
             "side killed",
             JobFault::KillSide {
                 side: 0,
-                down: millis(120),
+                downtime: millis(120),
             },
         ),
         (
             "side killed for about a hold",
             JobFault::KillSide {
                 side: 0,
-                down: millis(480),
+                downtime: millis(480),
             },
         ),
         (
             "side down for long",
             JobFault::KillSide {
                 side: 0,
-                down: millis(3_000),
+                downtime: millis(3_000),
             },
         ),
         (
@@ -180,7 +180,7 @@
             "target crashed",
             JobFault::CrashTarget {
                 side: 0,
-                down: millis(500),
+                downtime: millis(500),
                 is_silent: false,
             },
         ),
@@ -188,7 +188,7 @@
             "target crashed silently",
             JobFault::CrashTarget {
                 side: 0,
-                down: millis(2_500),
+                downtime: millis(2_500),
                 is_silent: true,
             },
         ),
@@ -247,19 +247,19 @@
 /// before, when an entry, a side or both fail or an order is carried out seconds late.
 #[test]
 fn nothing_runs_on_after_its_callers_have_left() {
-    let gone = [
+    let second_faults = [
         None,
         Some(JobFault::KillEntry {
             entry: 0,
-            down: millis(15_000),
+            downtime: millis(15_000),
         }),
         Some(JobFault::KillSide {
             side: 0,
-            down: millis(15_000),
+            downtime: millis(15_000),
         }),
     ];
     for (name, fault) in faults() {
-        for (step, second) in (0..12).flat_map(|step| gone.map(|second| (step, second))) {
+        for (step, second) in (0..12).flat_map(|step| second_faults.map(|second| (step, second))) {
             let mut system = system(step);
             for job in 0..8 {
                 let id = system.submit(millis(1_000 + 5 * job), 0, 4, millis(900));
@@ -458,9 +458,15 @@
     let side = rng.random_range(0..SIDES);
     let time = millis(rng.random_range(20..3_500));
     match rng.random_range(0..10) {
-        0 => JobFault::KillEntry { entry, down: time },
+        0 => JobFault::KillEntry {
+            entry,
+            downtime: time,
+        },
         1 => JobFault::PauseEntry { entry, time },
-        2 => JobFault::KillSide { side, down: time },
+        2 => JobFault::KillSide {
+            side,
+            downtime: time,
+        },
         3 => JobFault::PauseSide { side, time },
         4 | 5 => {
             let directions = [Direction::ToSide, Direction::ToEntry, Direction::Both];
@@ -476,7 +482,7 @@
         9 => JobFault::SilenceLink { entry, side },
         7 => JobFault::CrashTarget {
             side,
-            down: time,
+            downtime: time,
             is_silent: rng.random_bool(0.5),
         },
         _ => {
@@ -512,8 +518,8 @@
 
 #[test]
 fn random_histories_break_nothing() {
-    let asked = std::env::var("MASTKNOT_HISTORIES").ok();
-    let count = asked
+    let requested_count = std::env::var("MASTKNOT_HISTORIES").ok();
+    let count = requested_count
         .and_then(|text| text.parse().ok())
         .unwrap_or(CI_HISTORIES);
     let first = std::env::var("MASTKNOT_FIRST_HISTORY").ok();
--- a/crates/mastknot_virtual/tests/large_fleet.rs
+++ b/crates/mastknot_virtual/tests/large_fleet.rs
@@ -184,13 +184,16 @@
     let begin = Duration::from_millis(100);
     let mut fleet = Fleet::load(55, 240, None, 1.5, begin, Duration::from_secs(3));
     fleet.system.run_until(Duration::from_secs(3));
-    let most = fleet.system.active_links().into_iter().max().unwrap();
+    let max_active_links = fleet.system.active_links().into_iter().max().unwrap();
     let counters = fleet.system.counters();
     let starts: u64 = counters.iter().map(|counters| counters.starts).sum();
     let without_capacity = counters.iter().map(|counters| counters.starts_without_room);
     let rejected = without_capacity.sum::<u64>() as f64 / starts as f64;
-    println!("links in use {most}, rejected starts {rejected:.3}");
-    assert!(most <= 3 * USUAL_LINKS, "{most} links in use");
+    println!("links in use {max_active_links}, rejected starts {rejected:.3}");
+    assert!(
+        max_active_links <= 3 * USUAL_LINKS,
+        "{max_active_links} links in use"
+    );
     assert!(rejected <= 0.2, "{rejected:.3} of the starts rejected");
 }
 
@@ -216,28 +219,28 @@
 
 /// Crashes every fifth target permanently, then kills all processes, which restart within 300 ms.
 fn lose_targets_and_kill_all(system: &mut JobSystem, at: Duration) {
-    let gone_at = Duration::from_millis(200);
-    let gone = Duration::from_secs(600);
+    let lost_at = Duration::from_millis(200);
+    let permanently = Duration::from_secs(600);
     let mut plan = |at, fault| system.plan(JobFaultPlan { at, fault });
     for side in 0..240 {
-        let down = Duration::from_millis(100 + side % 200);
+        let downtime = Duration::from_millis(100 + side % 200);
         let side = side as usize;
         if side.is_multiple_of(5) {
             let is_silent = false;
             plan(
-                gone_at,
+                lost_at,
                 JobFault::CrashTarget {
                     side,
-                    down: gone,
+                    downtime: permanently,
                     is_silent,
                 },
             );
         }
-        plan(at, JobFault::KillSide { side, down });
+        plan(at, JobFault::KillSide { side, downtime });
     }
     for entry in 0..55 {
-        let down = Duration::from_millis(100 + 3 * entry as u64);
-        plan(at, JobFault::KillEntry { entry, down });
+        let downtime = Duration::from_millis(100 + 3 * entry as u64);
+        plan(at, JobFault::KillEntry { entry, downtime });
     }
 }
 
@@ -256,11 +259,11 @@
     });
     let jobs = submit_in_waves(&mut system, 13, 700.0 * 0.75, Duration::from_secs(22));
     for side in 0..18 {
-        let down = Duration::from_secs(4);
+        let downtime = Duration::from_secs(4);
         let is_silent = false;
         let fault = JobFault::CrashTarget {
             side,
-            down,
+            downtime,
             is_silent,
         };
         let at = Duration::from_secs(10);
--- a/crates/mastknot_virtual/tests/learned_profile.rs
+++ b/crates/mastknot_virtual/tests/learned_profile.rs
@@ -17,7 +17,7 @@
 const CRASH: TaskCrash = TaskCrash {
     tasks: 1,
     after: Duration::from_millis(10),
-    down: Duration::from_millis(3_300),
+    downtime: Duration::from_millis(3_300),
     is_silent: false,
 };
 
@@ -57,7 +57,10 @@
 
 fn restart_entries(system: &mut JobSystem, at_ms: u64) {
     for entry in 0..ENTRIES {
-        let fault = JobFault::KillEntry { entry, down: DOWN };
+        let fault = JobFault::KillEntry {
+            entry,
+            downtime: DOWN,
+        };
         let at = millis(at_ms);
         system.plan(JobFaultPlan { at, fault });
     }
@@ -66,7 +69,10 @@
 fn restart_all(system: &mut JobSystem, at_ms: u64) {
     restart_entries(system, at_ms);
     for side in 0..SIDES {
-        let fault = JobFault::KillSide { side, down: DOWN };
+        let fault = JobFault::KillSide {
+            side,
+            downtime: DOWN,
+        };
         let at = millis(at_ms);
         system.plan(JobFaultPlan { at, fault });
     }
--- a/crates/mastknot_virtual/tests/overload.rs
+++ b/crates/mastknot_virtual/tests/overload.rs
@@ -138,9 +138,9 @@
 fn a_job_that_can_never_be_done_in_time_gets_no_retry_time() {
     let mut system = system(1, 2, 4, 4);
     let key = system.new_key();
-    let mut asked = common::job(key, 800, 100);
-    asked.deadline_ms = 1_000;
-    let request = system.submit(0, asked);
+    let mut submission = common::job(key, 800, 100);
+    submission.deadline_ms = 1_000;
+    let request = system.submit(0, submission);
     system.run_for(Duration::from_secs(1));
     let Some(Reply::Refused(refusal)) = system.reply(request) else {
         panic!("{:?}", system.reply(request));
--- a/crates/mastknot_virtual/tests/plays_repeat.rs
+++ b/crates/mastknot_virtual/tests/plays_repeat.rs
@@ -17,8 +17,8 @@
 
 fn kill_entry(at: u64, entry: usize) -> JobFaultPlan {
     let at = millis(at);
-    let down = millis(300);
-    let fault = JobFault::KillEntry { entry, down };
+    let downtime = millis(300);
+    let fault = JobFault::KillEntry { entry, downtime };
     JobFaultPlan { at, fault }
 }
 
--- a/crates/mastknot_virtual/tests/rebirths.rs
+++ b/crates/mastknot_virtual/tests/rebirths.rs
@@ -23,9 +23,9 @@
 const LONG_HOLD: Duration = Duration::from_secs(15);
 
 fn histories() -> u64 {
-    let asked = std::env::var("MASTKNOT_HISTORIES").ok();
-    let asked = asked.and_then(|text| text.parse().ok());
-    asked.unwrap_or(CI_HISTORIES)
+    let requested_count = std::env::var("MASTKNOT_HISTORIES").ok();
+    let requested_count = requested_count.and_then(|text| text.parse().ok());
+    requested_count.unwrap_or(CI_HISTORIES)
 }
 
 fn millis(ms: u64) -> Duration {
@@ -57,12 +57,12 @@
     jobs.count()
 }
 
-fn crash(side: usize, at: u64, down: u64, is_silent: bool) -> JobFaultPlan {
+fn crash(side: usize, at: u64, downtime: u64, is_silent: bool) -> JobFaultPlan {
     JobFaultPlan {
         at: millis(at),
         fault: JobFault::CrashTarget {
             side,
-            down: millis(down),
+            downtime: millis(downtime),
             is_silent,
         },
     }
@@ -74,10 +74,16 @@
     let entry = rng.random_range(0..ENTRIES);
     let time = millis(rng.random_range(20..3_000));
     match rng.random_range(0..6) {
-        0 => JobFault::KillSide { side, down: time },
+        0 => JobFault::KillSide {
+            side,
+            downtime: time,
+        },
         1 => JobFault::PauseSide { side, time },
         2 => JobFault::DelayReports { side, time },
-        3 => JobFault::KillEntry { entry, down: time },
+        3 => JobFault::KillEntry {
+            entry,
+            downtime: time,
+        },
         4 => JobFault::SuspendSide { side, time },
         _ => JobFault::PartitionLink {
             entry,
@@ -97,8 +103,8 @@
     for _ in 0..rng.random_range(2..7) {
         let side = rng.random_range(0..SIDES);
         let at = rng.random_range(300..7_000);
-        let down = [2, 20, 300, 3_000][rng.random_range(0..4)];
-        system.plan(crash(side, at, down, rng.random_bool(0.5)));
+        let downtime = [2, 20, 300, 3_000][rng.random_range(0..4)];
+        system.plan(crash(side, at, downtime, rng.random_bool(0.5)));
         if rng.random_bool(0.4) {
             let offset = rng.random_range(0..400);
             let at = millis((at + offset).saturating_sub(200));
--- a/crates/mastknot_virtual/tests/room_grants.rs
+++ b/crates/mastknot_virtual/tests/room_grants.rs
@@ -82,9 +82,9 @@
         messages += before.messages;
         measured_messages += measured.messages;
     }
-    let most = messages * (1.0 + MESSAGE_TOLERANCE);
+    let max_messages = messages * (1.0 + MESSAGE_TOLERANCE);
     assert!(
-        measured_messages <= most,
+        measured_messages <= max_messages,
         "{times}: {measured_messages} messages in {runs} runs after {messages}"
     );
 }
@@ -153,7 +153,7 @@
     let time = Duration::from_millis(700);
     let kill = JobFault::KillEntry {
         entry: 0,
-        down: time,
+        downtime: time,
     };
     simulation.system.plan(JobFaultPlan { at, fault: kill });
     let pause = JobFault::PauseEntry { entry: 1, time };
--- a/crates/mastknot_virtual/tests/runs_called_over.rs
+++ b/crates/mastknot_virtual/tests/runs_called_over.rs
@@ -24,9 +24,9 @@
 }
 
 fn histories() -> u64 {
-    let asked = std::env::var("MASTKNOT_HISTORIES").ok();
-    let asked = asked.and_then(|text| text.parse().ok());
-    asked.unwrap_or(CI_HISTORIES)
+    let requested_count = std::env::var("MASTKNOT_HISTORIES").ok();
+    let requested_count = requested_count.and_then(|text| text.parse().ok());
+    requested_count.unwrap_or(CI_HISTORIES)
 }
 
 fn direction(rng: &mut StdRng) -> Direction {
@@ -48,8 +48,14 @@
     let side = rng.random_range(0..SIDES);
     let time = millis(rng.random_range(20..1_500));
     match rng.random_range(0..11) {
-        0 => JobFault::KillSide { side, down: time },
-        1 => JobFault::KillEntry { entry, down: time },
+        0 => JobFault::KillSide {
+            side,
+            downtime: time,
+        },
+        1 => JobFault::KillEntry {
+            entry,
+            downtime: time,
+        },
         2 => JobFault::PauseEntry { entry, time },
         3 => JobFault::SilenceLink { entry, side },
         4 | 5 => JobFault::ResetLink { entry, side },
@@ -60,7 +66,7 @@
         },
         7 => JobFault::CrashTarget {
             side,
-            down: millis(rng.random_range(5..600)),
+            downtime: millis(rng.random_range(5..600)),
             is_silent: rng.random_bool(0.5),
         },
         _ => JobFault::PartitionLink {
--- a/crates/mastknot_virtual/tests/shares.rs
+++ b/crates/mastknot_virtual/tests/shares.rs
@@ -117,8 +117,8 @@
 }
 
 fn spread(parts: &[f64]) -> f64 {
-    let most = parts.iter().copied().fold(f64::MIN, f64::max);
-    most - parts.iter().copied().fold(f64::MAX, f64::min)
+    let highest = parts.iter().copied().fold(f64::MIN, f64::max);
+    highest - parts.iter().copied().fold(f64::MAX, f64::min)
 }
 
 #[test]
@@ -201,9 +201,9 @@
 /// Callers whose entry was killed submit again a second later, on top of a load close to what the targets can run.
 #[test]
 fn a_burst_takes_nothing_from_others_while_entries_are_killed() {
-    let down = FAULTS_FOR;
+    let downtime = FAULTS_FOR;
     assert_usual(usual_halls(|entry| {
-        vec![JobFault::KillEntry { entry, down }]
+        vec![JobFault::KillEntry { entry, downtime }]
     }));
 }
 
--- a/crates/mastknot_virtual/tests/stale_clocks.rs
+++ b/crates/mastknot_virtual/tests/stale_clocks.rs
@@ -29,7 +29,7 @@
         for side in 0..2 {
             let fault = JobFault::KillSide {
                 side,
-                down: millis(3_000),
+                downtime: millis(3_000),
             };
             let at = millis(40_030 + 10 * seed);
             system.plan(JobFaultPlan { at, fault });
--- a/crates/mastknot_virtual/tests/standby_links.rs
+++ b/crates/mastknot_virtual/tests/standby_links.rs
@@ -78,8 +78,8 @@
     let mut system = system(2, 40, Some(8), 4);
     system.run_until(ms(1_000));
     for side in 0..30 {
-        let down = ms(20_000);
-        let fault = JobFault::KillSide { side, down };
+        let downtime = ms(20_000);
+        let fault = JobFault::KillSide { side, downtime };
         system.plan(JobFaultPlan {
             at: ms(1_000),
             fault,
@@ -94,9 +94,15 @@
     let side = rng.random_range(0..sides);
     let time = ms(rng.random_range(50..3_000));
     match rng.random_range(0..8) {
-        0 => JobFault::KillEntry { entry, down: time },
+        0 => JobFault::KillEntry {
+            entry,
+            downtime: time,
+        },
         1 => JobFault::PauseEntry { entry, time },
-        2 => JobFault::KillSide { side, down: time },
+        2 => JobFault::KillSide {
+            side,
+            downtime: time,
+        },
         3 => JobFault::PauseSide { side, time },
         4 => JobFault::PartitionLink {
             entry,
@@ -108,7 +114,7 @@
         5 => JobFault::ResetLink { entry, side },
         6 => JobFault::CrashTarget {
             side,
-            down: time,
+            downtime: time,
             is_silent: rng.random(),
         },
         _ => JobFault::Misbehave {
--- a/crates/mastknot_wire/src/error/link_error.rs
+++ b/crates/mastknot_wire/src/error/link_error.rs
@@ -39,7 +39,7 @@
         source: http::Error,
     },
     /// The other end requested a path that belongs to no kind of link.
-    #[snafu(display("the path {path:?} is no link"))]
+    #[snafu(display("the path {path:?} is not the path of a link"))]
     UnknownPath {
         /// Path of the request.
         path: String,
