--- a/crates/mastknot_core/src/agent/directory_digests.rs
+++ b/crates/mastknot_core/src/agent/directory_digests.rs
@@ -91,9 +91,9 @@
         let counted = known.filter(|known| known.is_current || !has_current);
         let mut counts: IndexMap<u64, usize> = IndexMap::new();
         counted.for_each(|known| *counts.entry(known.digest).or_default() += 1);
-        let most = counts
+        let most_common = counts
             .iter()
             .max_by_key(|(digest, count)| (**count, **digest == self.held));
-        most.map(|(digest, _)| *digest)
+        most_common.map(|(digest, _)| *digest)
     }
 }
--- a/crates/mastknot_core/src/agent/target_restarts.rs
+++ b/crates/mastknot_core/src/agent/target_restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that restart under the same name: which incarnation answers, and what a restart changes.
+//! Targets that restart under the same name: detection of the incarnation that answers, and effects of a restart.
 //!
 //! Orders name their target but not its incarnation, and answers to orders do not say which
 //! incarnation sent them. Probes do. The first probe of a new incarnation settles which orders it
--- a/crates/mastknot_core/src/scheduler/forecast.rs
+++ b/crates/mastknot_core/src/scheduler/forecast.rs
@@ -71,7 +71,7 @@
     /// Returns the work that waits at the entry itself with this rank or a more urgent one, in thousandths of a core
     /// times milliseconds.
     pub fn own_work(&self, rank: u8) -> u64 {
-        let urgent = self.own.iter().filter(|work| work.rank <= rank);
+        let urgent = self.own_waiting.iter().filter(|work| work.rank <= rank);
         urgent.map(|work| work.cpu_millis_ms).sum()
     }
 
--- a/crates/mastknot_core/src/scheduler/load_view.rs
+++ b/crates/mastknot_core/src/scheduler/load_view.rs
@@ -9,7 +9,7 @@
     /// Sides that the entry uses for starts.
     pub sides: Vec<KnownLoad>,
     /// Work that waits at the entry itself, the most urgent first.
-    pub own: Vec<RankedWork>,
+    pub own_waiting: Vec<RankedWork>,
 }
 
 /// Load at one side as known to an entry.
--- a/crates/mastknot_core/src/scheduler/observed_load.rs
+++ b/crates/mastknot_core/src/scheduler/observed_load.rs
@@ -47,7 +47,7 @@
         });
         LoadView {
             sides: known.collect(),
-            own: own_work,
+            own_waiting: own_work,
         }
     }
 
--- a/crates/mastknot_core/tests/agent.rs
+++ b/crates/mastknot_core/tests/agent.rs
@@ -1,5 +1,5 @@
-//! State machine of a side: what it orders from its target, how long it lets the target hold runs, what it reports
-//! and what it turns away.
+//! State machine of a side: its orders to the target, the time for which it lets the target hold runs, its reports and
+//! its refusals.
 
 mod common;
 
--- a/crates/mastknot_core/tests/forecast.rs
+++ b/crates/mastknot_core/tests/forecast.rs
@@ -54,7 +54,10 @@
 }
 
 fn view(sides: Vec<KnownLoad>, own: Vec<RankedWork>) -> LoadView {
-    LoadView { sides, own }
+    LoadView {
+        sides,
+        own_waiting: own,
+    }
 }
 
 /// Returns the input for a job of eight tasks of 100 ms each, with this much required capacity ahead of it.
@@ -95,42 +98,48 @@
 
 #[test]
 fn the_wait_is_the_capacity_ahead_over_the_rate_at_which_it_comes_free() {
-    let own = vec![work(NEW, 100_000)];
-    let alone = view(vec![side(0, 1.0, Vec::new())], own.clone());
+    let own_work = vec![work(NEW, 100_000)];
+    let alone = view(vec![side(0, 1.0, Vec::new())], own_work.clone());
     // 16 cores become free within 100 ms, and 12.8 are required.
     assert_eq!(wait(&alone, &ahead(0)), Some(80));
     assert_eq!(wait(&alone, &ahead(16_000)), Some(180));
     let two = view(
         vec![side(0, 1.0, Vec::new()), side(0, 1.0, Vec::new())],
-        own,
+        own_work,
     );
     assert_eq!(wait(&two, &ahead(0)), Some(40));
 }
 
 #[test]
 fn entries_get_capacity_in_proportion_to_their_waiting_work() {
-    let own = vec![work(NEW, 100_000)];
+    let own_work = vec![work(NEW, 100_000)];
     let shared = side(0, 1.0, vec![work(NEW, 400_000)]);
-    assert_eq!(wait(&view(vec![shared], own.clone()), &ahead(0)), Some(320));
+    assert_eq!(
+        wait(&view(vec![shared], own_work.clone()), &ahead(0)),
+        Some(320)
+    );
     // Less urgent work takes no part of the capacity.
     let others = side(0, 1.0, vec![work(NEW, 100_000), work(NEW + 1, 900_000)]);
-    assert_eq!(wait(&view(vec![others], own.clone()), &ahead(0)), Some(80));
+    assert_eq!(
+        wait(&view(vec![others], own_work.clone()), &ahead(0)),
+        Some(80)
+    );
     // A report that predates the entry's own waiting work counts as if it included that work.
     let late = side(0, 1.0, vec![work(NEW, 10_000)]);
-    assert_eq!(wait(&view(vec![late], own), &ahead(0)), Some(80));
+    assert_eq!(wait(&view(vec![late], own_work), &ahead(0)), Some(80));
 }
 
 #[test]
 fn slow_targets_free_less_capacity() {
-    let own = vec![work(NEW, 100_000)];
-    let slow = view(vec![side(0, 2.0, Vec::new())], own);
+    let own_work = vec![work(NEW, 100_000)];
+    let slow = view(vec![side(0, 2.0, Vec::new())], own_work);
     assert_eq!(wait(&slow, &ahead(0)), Some(160));
 }
 
 #[test]
 fn more_urgent_arrivals_reduce_the_capacity() {
-    let own = vec![work(NEW, 100_000)];
-    let alone = view(vec![side(0, 1.0, Vec::new())], own);
+    let own_work = vec![work(NEW, 100_000)];
+    let alone = view(vec![side(0, 1.0, Vec::new())], own_work);
     // Two entries use the side: this one gets half of its capacity if both require the same.
     let half = ForecastInput {
         arriving_rate: 4_000.0,
@@ -146,8 +155,8 @@
 
 #[test]
 fn the_obtained_ratio_corrects_the_wait() {
-    let own = vec![work(NEW, 100_000)];
-    let alone = view(vec![side(0, 1.0, Vec::new())], own);
+    let own_work = vec![work(NEW, 100_000)];
+    let alone = view(vec![side(0, 1.0, Vec::new())], own_work);
     let input = ForecastInput {
         obtained_ratio: 0.8,
         ..ahead(0)
@@ -189,11 +198,11 @@
 fn a_waiting_job_is_refused_when_it_is_denied_again() {
     let denied = waits_for(Some(60));
     assert_eq!(Admission::of(&denied), Admission::DeniedOnce);
-    let again = AdmissionInput {
+    let second_review = AdmissionInput {
         was_denied_before: true,
         ..denied
     };
-    assert_eq!(Admission::of(&again), Admission::Refuse);
+    assert_eq!(Admission::of(&second_review), Admission::Refuse);
     let in_time = AdmissionInput {
         was_denied_before: true,
         ..waits_for(Some(40))
--- a/crates/mastknot_core/tests/hard_load_interfaces.rs
+++ b/crates/mastknot_core/tests/hard_load_interfaces.rs
@@ -114,7 +114,7 @@
     };
     let view = LoadView {
         sides: vec![known],
-        own: vec![work(16)],
+        own_waiting: vec![work(16)],
     };
     assert_eq!(view.sides[0].load.waiting, []);
     let slowdown = LearnedSlowdown {
--- a/crates/mastknot_core/tests/held_grants.rs
+++ b/crates/mastknot_core/tests/held_grants.rs
@@ -137,5 +137,5 @@
     assert_eq!(view.sides.len(), 1);
     assert_eq!(view.sides[0].load, load);
     assert_eq!(view.sides[0].age, Duration::from_millis(7));
-    assert_eq!(view.own.len(), 1);
+    assert_eq!(view.own_waiting.len(), 1);
 }
--- a/crates/mastknot_core/tests/link_lives.rs
+++ b/crates/mastknot_core/tests/link_lives.rs
@@ -83,8 +83,8 @@
     assert_eq!(to, [LIVING, LIVING]);
 }
 
-/// Hellos of both incarnations arrive in any order at an entry that knows one of them or neither, and only the living
-/// one answers. When the last hello won, the living link was closed in about half of the orders.
+/// Hellos of both incarnations arrive in any order at an entry that knows one of them or neither, and only the running
+/// one answers. When the last hello won, the link of the running one was closed in about half of the orders.
 #[test]
 fn in_any_order_of_arrival_the_link_of_the_living_side_stays() {
     for seed in 0..200 {
--- a/crates/mastknot_core/tests/profile_writing.rs
+++ b/crates/mastknot_core/tests/profile_writing.rs
@@ -58,9 +58,9 @@
 
 /// Returns the update that this change of the written profile makes necessary, if any.
 fn update_after(change: impl Fn(&mut LearnedProfile)) -> Option<ProfileUpdate> {
-    let mut own = written();
-    change(&mut own);
-    profile_update(Some(&written()), &own, true)
+    let mut own_profile = written();
+    change(&mut own_profile);
+    profile_update(Some(&written()), &own_profile, true)
 }
 
 #[test]
@@ -103,13 +103,13 @@
 
 #[test]
 fn an_entry_without_own_slowdowns_writes_suspects_only() {
-    let own = LearnedProfile {
+    let own_profile = LearnedProfile {
         suspects: Vec::new(),
         ..written()
     };
-    assert_eq!(profile_update(None, &own, false), None);
+    assert_eq!(profile_update(None, &own_profile, false), None);
     assert_eq!(
-        profile_update(None, &own, true),
+        profile_update(None, &own_profile, true),
         Some(ProfileUpdate::Slowdown)
     );
     let update = profile_update(None, &written(), false);
--- a/crates/mastknot_runtime/src/shared_store/directory_settings.rs
+++ b/crates/mastknot_runtime/src/shared_store/directory_settings.rs
@@ -17,7 +17,7 @@
     /// Prefix of the keys of all entries.
     pub prefix: String,
     /// Item under which this process lists itself; `None` if it only reads the directory.
-    pub own: Option<OwnEntry>,
+    pub own_entry: Option<OwnEntry>,
     /// Parses a value; returns `None` if it is not one that an entry writes.
     pub read: fn(&[u8]) -> Option<V>,
     /// Duration of the lease under which an entry is listed, counted from its last renewal.
@@ -33,7 +33,7 @@
 impl<V> DirectorySettings<V> {
     /// Returns the complete key of this process's own item, if it lists itself.
     pub(super) fn own_key(&self) -> Option<String> {
-        let own = self.own.as_ref()?;
-        Some(format!("{}{}", self.prefix, own.name))
+        let own_entry = self.own_entry.as_ref()?;
+        Some(format!("{}{}", self.prefix, own_entry.name))
     }
 }
--- a/crates/mastknot_runtime/src/shared_store/entry_directory.rs
+++ b/crates/mastknot_runtime/src/shared_store/entry_directory.rs
@@ -148,7 +148,7 @@
 
     /// Notifies the task that keeps this process listed if another writer has changed its item.
     fn notify_own_change(&self, item: &SharedItem) {
-        let (Some(own), Some(key)) = (&self.settings.own, self.settings.own_key()) else {
+        let (Some(own), Some(key)) = (&self.settings.own_entry, self.settings.own_key()) else {
             return;
         };
         if item.key == key {
--- a/crates/mastknot_runtime/src/shared_store/own_listing.rs
+++ b/crates/mastknot_runtime/src/shared_store/own_listing.rs
@@ -23,13 +23,13 @@
     settings: &DirectorySettings<V>,
     overwritten: watch::Receiver<Option<u64>>,
 ) {
-    let (Some(own), Some(key)) = (&settings.own, settings.own_key()) else {
+    let (Some(own), Some(key)) = (&settings.own_entry, settings.own_key()) else {
         return;
     };
     let mut rewriting = Rewriting {
         store,
         key: &key,
-        own,
+        own_entry: own,
         overwritten,
         pause: FIRST_REWRITE_PAUSE,
     };
@@ -53,7 +53,7 @@
 struct Rewriting<'a, S> {
     store: &'a S,
     key: &'a str,
-    own: &'a OwnEntry,
+    own_entry: &'a OwnEntry,
     overwritten: watch::Receiver<Option<u64>>,
     pause: Duration,
 }
@@ -84,7 +84,7 @@
         let key = self.key;
         warn!(key, revision; "the own key in the store was changed by another writer");
         self.pause = (self.pause * 2).min(MAX_REWRITE_PAUSE);
-        let value = self.own.value.as_bytes();
+        let value = self.own_entry.value.as_bytes();
         let written = self.store.write_leased(key, value, lease, Some(revision));
         match written.await {
             Ok(written) => {
@@ -116,11 +116,11 @@
     store: &S,
     settings: &DirectorySettings<V>,
     key: &str,
-    own: &OwnEntry,
+    own_entry: &OwnEntry,
 ) -> Result<SharedLease, SharedStoreError> {
     let lease = store.grant(settings.lease_time).await?;
     loop {
-        let value = own.value.as_bytes();
+        let value = own_entry.value.as_bytes();
         match store.write_leased(key, value, lease, None).await {
             Ok(SharedWrite::Done) => return Ok(lease),
             Ok(SharedWrite::LeaseOver | SharedWrite::Changed) => {
--- a/crates/mastknot_runtime/tests/directory.rs
+++ b/crates/mastknot_runtime/tests/directory.rs
@@ -171,7 +171,7 @@
 fn keep(store: &MemoryStore, own: Option<OwnEntry>) -> watch::Receiver<Directory<u64>> {
     let settings = DirectorySettings {
         prefix: PREFIX.to_owned(),
-        own,
+        own_entry: own,
         read,
         lease_time: Duration::from_secs(6),
         watch_wait: DIRECTORY_WATCH_WAIT,
--- a/crates/mastknot_runtime/tests/profile_keeper.rs
+++ b/crates/mastknot_runtime/tests/profile_keeper.rs
@@ -276,7 +276,7 @@
     };
     let directory = DirectorySettings {
         prefix: "system/entries/".to_owned(),
-        own: Some(own_entry),
+        own_entry: Some(own_entry),
         read: |value| Some(value.len()),
         lease_time: Duration::from_secs(6),
         watch_wait: DIRECTORY_WATCH_WAIT,
--- a/crates/mastknot_virtual/tests/contained_kinds.rs
+++ b/crates/mastknot_virtual/tests/contained_kinds.rs
@@ -267,7 +267,7 @@
 
 /// Returns the shares of completed jobs among the healthy jobs of the other queues while a queue crashes targets and
 /// after that.
-fn shares_beside(seed: u64, bad: usize) -> Vec<f64> {
+fn shares_of_other_queues(seed: u64, bad: usize) -> Vec<f64> {
     let mut simulation = simulate(seed, SMALL, END_MS, &[bad], BAD_SPAN);
     simulation.system.run_until(millis(END_MS + 4_000));
     assert_eq!(simulation.system.violations(), [], "seed {seed}");
@@ -286,7 +286,7 @@
     let narrow = narrow.map(|seed| (seed, 2));
     let short = short.map(|seed| (seed, 0));
     for (seed, bad) in narrow.into_iter().chain(short) {
-        let others = shares_beside(seed, bad);
+        let others = shares_of_other_queues(seed, bad);
         assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
     }
 }
@@ -296,7 +296,7 @@
 #[test]
 fn a_healthy_kind_is_not_contained_beside_one_that_crashes_targets() {
     for seed in [34, 185, 229, 249] {
-        let others = shares_beside(seed, 2);
+        let others = shares_of_other_queues(seed, 2);
         assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
     }
 }
--- a/crates/mastknot_virtual/tests/crashing_tasks.rs
+++ b/crates/mastknot_virtual/tests/crashing_tasks.rs
@@ -172,7 +172,7 @@
 }
 
 /// Returns faults of an entry that counts crashes, of a side that knows of them, or of a link between the two.
-fn faults_beside() -> Vec<JobFault> {
+fn additional_faults() -> Vec<JobFault> {
     let mut faults = Vec::new();
     for entry in 0..2 {
         let downtime = millis(250);
@@ -192,7 +192,7 @@
 /// The job is submitted again to other entries, which learn from the sides which targets its tasks have crashed.
 #[test]
 fn the_crash_count_survives_the_entry_that_counts() {
-    for (seed, fault) in faults_beside().into_iter().enumerate() {
+    for (seed, fault) in additional_faults().into_iter().enumerate() {
         for delay in [5, 12, 20, 30, 45] {
             let (mut system, _) = fleet(seed as u64);
             let crashing = submit_crashing(&mut system, 1, CRASH);
--- a/crates/mastknot_virtual/tests/linked_again.rs
+++ b/crates/mastknot_virtual/tests/linked_again.rs
@@ -37,8 +37,9 @@
     JobFaultPlan { at, fault }
 }
 
-/// Plays a link that breaks and is opened again. From `again` after that moment, no message arrives at the entry.
-fn play(again: Duration, seed: u64) -> JobSystem {
+/// Plays a link that breaks and is opened again. Once it has been open for `reopened_for`, no more messages arrive at
+/// the entry.
+fn play(reopened_for: Duration, seed: u64) -> JobSystem {
     let mut system = system(seed);
     system.submit(millis(1_500), 0, 6, millis(1_900));
     let broken = JobFault::ResetLink { entry: 0, side: 0 };
@@ -51,7 +52,7 @@
         Direction::Both,
         millis(AWAY_MS),
     ));
-    let silent_from = millis(BROKEN_AT_MS + AWAY_MS) + again;
+    let silent_from = millis(BROKEN_AT_MS + AWAY_MS) + reopened_for;
     system.plan(partition(silent_from, Direction::ToEntry, millis(2_500)));
     system.run_until(millis(9_000));
     system
@@ -71,10 +72,10 @@
     let mut concurrent = Vec::new();
     for seed in 0..10 {
         for step in 0..120 {
-            let again = Duration::from_micros(1_000 * step);
-            let count = count_concurrent_runs(&play(again, seed));
+            let reopened_for = Duration::from_micros(1_000 * step);
+            let count = count_concurrent_runs(&play(reopened_for, seed));
             if count > 0 {
-                concurrent.push((seed, again, count));
+                concurrent.push((seed, reopened_for, count));
             }
         }
     }
