--- a/crates/mastknot_core/tests/learned_profile.rs
+++ b/crates/mastknot_core/tests/learned_profile.rs
@@ -294,16 +294,16 @@
 
 #[test]
 fn without_ranked_queues_slowdowns_are_not_used_but_passed_on() {
-    let mut informed = unequal_entry(ScarcitySettings::default());
-    let mut uninformed = informed.clone();
-    read(&mut informed, 5, slowdowns_only(), 1_000);
+    let mut entry_with_profile = unequal_entry(ScarcitySettings::default());
+    let mut entry_without_profile = entry_with_profile.clone();
+    read(&mut entry_with_profile, 5, slowdowns_only(), 1_000);
     assert_eq!(
-        on_fast(&mut informed, false),
-        on_fast(&mut uninformed, false)
+        on_fast(&mut entry_with_profile, false),
+        on_fast(&mut entry_without_profile, false)
     );
-    assert_eq!(informed.scheduler.learned().slowdowns.len(), 2);
+    assert_eq!(entry_with_profile.scheduler.learned().slowdowns.len(), 2);
     let wall = WallTime::from_millis(WRITTEN + 2 * HOUR_MS);
-    let offer = informed
+    let offer = entry_with_profile
         .scheduler
         .profile_offer(Some(&slowdowns_only()), wall);
     assert_eq!(offer, None, "none of the values are from own runs");
@@ -315,13 +315,19 @@
         profile: false,
         ..ScarcitySettings::default()
     };
-    let mut informed = unequal_entry(off);
-    let mut uninformed = informed.clone();
-    assert_eq!(read(&mut informed, 5, slowdowns_only(), 1_000), []);
-    assert_eq!(on_fast(&mut informed, true), on_fast(&mut uninformed, true));
-    assert_eq!(informed.scheduler.counters().profiles_read, 0);
+    let mut entry_with_profile = unequal_entry(off);
+    let mut entry_without_profile = entry_with_profile.clone();
+    assert_eq!(
+        read(&mut entry_with_profile, 5, slowdowns_only(), 1_000),
+        []
+    );
+    assert_eq!(
+        on_fast(&mut entry_with_profile, true),
+        on_fast(&mut entry_without_profile, true)
+    );
+    assert_eq!(entry_with_profile.scheduler.counters().profiles_read, 0);
     let wall = WallTime::from_millis(WRITTEN);
-    assert_eq!(informed.scheduler.profile_offer(None, wall), None);
+    assert_eq!(entry_with_profile.scheduler.profile_offer(None, wall), None);
 }
 
 #[test]
--- a/crates/mastknot_core/tests/target_rebirths.rs
+++ b/crates/mastknot_core/tests/target_rebirths.rs
@@ -216,10 +216,10 @@
 fn a_fence_far_above_the_clock_is_passed_soon() {
     let mut side = Side::unknown();
     let mut effects = side.step(0, AgentEvent::Tick);
-    let fence = OLD_CLOCK_MS;
+    let fence_token = OLD_CLOCK_MS;
     for ms in 1..40 {
         let token = probe_token(&effects).expect("a probe is under way");
-        if token >= fence {
+        if token >= fence_token {
             return;
         }
         let clock_ms = 1_000 + ms;
--- a/crates/mastknot_virtual/src/jobs/links.rs
+++ b/crates/mastknot_virtual/src/jobs/links.rs
@@ -54,8 +54,8 @@
 
     pub(super) fn redial(&mut self, session: SessionId) {
         if let Some((entry, side)) = self.sessions.get(&session).copied() {
-            let opened = self.opened.remove(&session).unwrap_or(self.now);
-            let uptime = Duration::from_micros(self.now - opened);
+            let opened_at = self.opened.remove(&session).unwrap_or(self.now);
+            let uptime = Duration::from_micros(self.now - opened_at);
             let jitter = self.jitter();
             let pause = self.backoff(entry, side).after_link(uptime, jitter);
             self.schedule_in(pause.as_micros() as u64, Action::Dial { entry, side });
--- a/crates/mastknot_virtual/tests/contained_kinds.rs
+++ b/crates/mastknot_virtual/tests/contained_kinds.rs
@@ -160,7 +160,7 @@
     }
 }
 
-fn worst(shares: &[f64]) -> f64 {
+fn min_share(shares: &[f64]) -> f64 {
     shares.iter().copied().fold(1.0, f64::min)
 }
 
@@ -177,7 +177,10 @@
         simulation.system.run_until(millis(END_MS + 4_000));
         assert_eq!(simulation.system.violations(), [], "seed {seed}");
         let others = simulation.shares(&[1, 2], 4_000, END_MS);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.2?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.2?}"
+        );
     }
 }
 
@@ -191,7 +194,7 @@
     simulation.system.run_until(millis(12_000));
     assert_eq!(simulation.system.violations(), []);
     let others = simulation.shares(&[1, 2], 3_000, 9_000);
-    assert!(worst(&others) >= WELL_SERVED, "{others:.2?}");
+    assert!(min_share(&others) >= WELL_SERVED, "{others:.2?}");
 }
 
 /// A kind is released and may use all targets again once its tasks have proved to be healthy.
@@ -201,7 +204,7 @@
         let mut simulation = simulate(seed, SMALL, END_MS, &[0], BAD_SPAN);
         simulation.system.run_until(millis(END_MS + 4_000));
         let after = simulation.shares(&[0], 19_000, END_MS);
-        assert!(worst(&after) >= WELL_SERVED, "seed {seed}: {after:.2?}");
+        assert!(min_share(&after) >= WELL_SERVED, "seed {seed}: {after:.2?}");
     }
 }
 
@@ -212,7 +215,10 @@
         simulation.system.run_until(millis(END_MS + 4_000));
         assert_eq!(simulation.system.violations(), [], "seed {seed}");
         let others = simulation.shares(&[1], 4_000, END_MS);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.2?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.2?}"
+        );
     }
 }
 
@@ -241,7 +247,10 @@
 fn a_restart_of_all_processes_finds_the_kind_again() {
     for seed in 0..5 {
         let others = shares_after_a_restart_of_all(seed, 0);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.2?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.2?}"
+        );
     }
 }
 
@@ -251,7 +260,10 @@
 fn callers_that_come_back_after_a_restart_are_served() {
     for seed in [22, 23, 40, 45, 51, 56, 57, 58] {
         let others = shares_after_a_restart_of_all(seed, 0);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.3?}"
+        );
     }
 }
 
@@ -261,7 +273,10 @@
 fn callers_that_come_back_are_served_beside_a_kind_with_half_of_the_targets() {
     for seed in 0..8 {
         let others = shares_after_a_restart_of_all(seed, 2);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.3?}"
+        );
     }
 }
 
@@ -287,7 +302,10 @@
     let short = short.map(|seed| (seed, 0));
     for (seed, bad) in narrow.into_iter().chain(short) {
         let others = shares_of_other_queues(seed, bad);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.3?}"
+        );
     }
 }
 
@@ -297,7 +315,10 @@
 fn a_healthy_kind_is_not_contained_beside_one_that_crashes_targets() {
     for seed in [34, 185, 229, 249] {
         let others = shares_of_other_queues(seed, 2);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.3?}"
+        );
     }
 }
 
@@ -307,7 +328,10 @@
 fn others_are_served_after_a_restart_beside_a_kind_with_half_of_the_targets() {
     for seed in [8, 34, 50, 52, 75, 87, 145, 148, 185, 189, 198] {
         let others = shares_after_a_restart_of_all(seed, 2);
-        assert!(worst(&others) >= WELL_SERVED, "seed {seed}: {others:.3?}");
+        assert!(
+            min_share(&others) >= WELL_SERVED,
+            "seed {seed}: {others:.3?}"
+        );
     }
 }
 
